--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -89,7 +89,7 @@
         self.knowledge = Knowledge(self.entries)
         self.harm = 0.0
         self.guard = CrashGuard(self.loop, self.table)
-        self.line = WaitingLine(self.loop, lambda seconds: seconds)
+        self.wait_queue = WaitingLine(self.loop, lambda seconds: seconds)
         self._numbers = itertools.count()
 
     def place(self, exchange, need):
@@ -98,7 +98,7 @@
         first_ms = _LATE_MS if self.harm else _TIMELY_MS
         return Placement(entry, (), (), first_ms, "test", harm=self.harm, best_ms=10.0)
 
-    def next_number(self):
+    def next_attempt_number(self):
         """Return the next number."""
         return next(self._numbers)
 
@@ -106,24 +106,24 @@
         """Let all wait."""
         return True
 
-    def may_repeat(self, service):
+    def consume_retry(self, service):
         """Let all repeat."""
         return True
 
-    def budget_left(self, service):
+    def retries_left(self, service):
         """Return a full budget."""
         return 10.0
 
     def load_changed(self):
         """Tell nobody."""
 
-    def answer_broke(self, attempt, witness):
+    def response_interrupted(self, attempt, witness):
         """Check nothing."""
 
-    def decided(self, event, **values):
+    def log_decision(self, event, **values):
         """Log nothing."""
 
-    def ended(self, exchange, outcome, status, detail):
+    def exchange_finished(self, exchange, outcome, status, detail):
         """Log nothing."""
 
 
--- a/src/brassdrum/bench/load/daemon.py
+++ b/src/brassdrum/bench/load/daemon.py
@@ -218,7 +218,7 @@
         self.knowledge = _Knowledge(fleet)
         self.guard = CrashGuard(self.loop, self.table)
         self.reservations = _Reservations(self)
-        self.line = WaitingLine(self.loop, lambda seconds: seconds * rng.uniform(0.6, 1.4))
+        self.wait_queue = WaitingLine(self.loop, lambda seconds: seconds * rng.uniform(0.6, 1.4))
         self.peers = Peers(
             self.loop,
             fleet.network.join(address.host),
@@ -250,20 +250,20 @@
         """Let all wait."""
         return True
 
-    def next_number(self) -> int:
+    def next_attempt_number(self) -> int:
         """Return the next number."""
         return next(self._numbers)
 
-    def may_repeat(self, _service: str) -> bool:
+    def consume_retry(self, _service: str) -> bool:
         """Count a repeat, and let it be sent."""
         self.repeats += 1
         return True
 
-    def budget_left(self, _service: str) -> float:
+    def retries_left(self, _service: str) -> float:
         """Return a full budget."""
         return 10.0
 
-    def decided(self, event: LogEvent, **values: object) -> None:
+    def log_decision(self, event: LogEvent, **values: object) -> None:
         """Note what was predicted of a request when it was sent first."""
         if event is PLACED and values["send"] == 1:
             self.predictions.append(
@@ -274,16 +274,18 @@
                 )
             )
 
-    def ended(self, exchange: Exchange, _outcome: Outcome, _status: int, _detail: str) -> None:
+    def exchange_finished(
+        self, exchange: Exchange, _outcome: Outcome, _status: int, _detail: str
+    ) -> None:
         """Forget what was drawn for the request."""
         self.events_by_request.pop(exchange.request.id, None)
 
-    def answer_broke(self, _attempt: Attempt, _lost: LostRequest) -> None:
+    def response_interrupted(self, _attempt: Attempt, _lost: LostRequest) -> None:
         """Do nothing: simulated engines do not end."""
 
     def load_changed(self) -> None:
         """Look at the line, and tell peers soon."""
-        self.line.place_freed()
+        self.wait_queue.place_freed()
         self.peers.changed()
 
 
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -102,7 +102,7 @@
         )
         self._numbers = itertools.count(1)
         self._random = rng or random.Random()
-        self.line = WaitingLine(self.loop, self._jitter)
+        self.wait_queue = WaitingLine(self.loop, self._jitter)
         self._store = store
         self._policy = policies.get(settings.policy)
         self._chooser = Chooser(settings.name, self.table, self._random, self._flush_seconds)
@@ -314,21 +314,21 @@
         duration = declared_duration(exchange.route, exchange.request, engine)
         return self._stop.may_wait(self.loop.now(), duration)
 
-    def next_number(self) -> int:
+    def next_attempt_number(self) -> int:
         """Return a number that no other attempt of this daemon has."""
         return next(self._numbers)
 
-    def may_repeat(self, service: str) -> bool:
+    def consume_retry(self, service: str) -> bool:
         """Take one repeated send from the shared budget, or return False."""
         assert self._peers is not None
         return self._budget(service).spend(self.loop.now(), self._peers.live)
 
-    def budget_left(self, service: str) -> float:
+    def retries_left(self, service: str) -> float:
         """Return how many repeats this daemon may still send."""
         assert self._peers is not None
         return self._budget(service).left(self.loop.now(), self._peers.live)
 
-    def answer_broke(self, attempt: Attempt, lost: LostRequest) -> None:
+    def response_interrupted(self, attempt: Attempt, lost: LostRequest) -> None:
         """Find out whether the endpoint has ended, unless it was about to leave."""
         entry = self.knowledge.endpoints_by_id.get(attempt.endpoint)
         if entry is not None and not entry.draining:
@@ -337,14 +337,16 @@
     def load_changed(self) -> None:
         """Look at the waiting requests, and tell peers soon."""
         assert self._peers is not None
-        self.line.place_freed()
+        self.wait_queue.place_freed()
         self._peers.changed()
 
-    def decided(self, event: LogEvent, **values: object) -> None:
+    def log_decision(self, event: LogEvent, **values: object) -> None:
         """Log a decision that touches a request."""
         event.write(_logger, **values)
 
-    def ended(self, exchange: Exchange, outcome: Outcome, status: int, detail: str) -> None:
+    def exchange_finished(
+        self, exchange: Exchange, outcome: Outcome, status: int, detail: str
+    ) -> None:
         """Log and count the end of a request."""
         self._exchanges.discard(exchange)
         report = exchange.report()
--- a/src/brassdrum/gateway/request/attempt.py
+++ b/src/brassdrum/gateway/request/attempt.py
@@ -19,13 +19,13 @@
 from brassdrum.gateway.placing.placement import Helper, Placement
 from brassdrum.gateway.placing.reservations import Hold, Reservations
 
-__all__ = ["Attempt", "AttemptHost", "AttemptOwner", "helper_name"]
+__all__ = ["Attempt", "AttemptContext", "AttemptOwner", "helper_name"]
 
 # An endpoint of whose places at most this part is taken has room, whatever is on its way to it.
 _ROOM_SHARE = 0.5
 
 
-class AttemptHost(Protocol):
+class AttemptContext(Protocol):
     """Give an attempt what it shares with all others of this daemon."""
 
     loop: EventLoop
@@ -37,7 +37,7 @@
     def load_changed(self) -> None:
         """Learn that own work in flight changed."""
 
-    def next_number(self) -> int:
+    def next_attempt_number(self) -> int:
         """Return a number that no other attempt of this daemon has."""
 
 
@@ -75,16 +75,18 @@
 class Attempt:
     """Hold one send of a request; hears its call and keeps the load table true."""
 
-    def __init__(self, host: AttemptHost, exchange: AttemptOwner, placement: Placement) -> None:
+    def __init__(
+        self, context: AttemptContext, exchange: AttemptOwner, placement: Placement
+    ) -> None:
         self.endpoint = placement.entry.id
-        self.sent_at = host.loop.now()
+        self.sent_at = context.loop.now()
         self.reply: Reply | None = None
         self.body = bytearray()
-        self._host = host
+        self._context = context
         self._exchange = exchange
         self._placement = placement
         # Not the number of sends: one that was refused memory is not counted there.
-        self._number = host.next_number()
+        self._number = context.next_attempt_number()
         self._key = f"{exchange.request.id}.{self._number}"
         self._hold: Hold | None = None
         self._call: EndpointCall | None = None
@@ -104,7 +106,7 @@
     @property
     def leaves_room(self) -> bool:
         """Return whether many places of the endpoint are known to be free after this attempt."""
-        taken = self._host.table.total(self.endpoint).calls
+        taken = self._context.table.total(self.endpoint).calls
         return taken <= self._placement.entry.slots * _ROOM_SHARE
 
     @property
@@ -118,13 +120,13 @@
 
     def start(self) -> None:
         """Send the request, after the memory of its parts is held."""
-        self._host.table.start(
+        self._context.table.start(
             self._key,
             self._placement.shares,
-            self._host.loop.now(),
+            self._context.loop.now(),
             self._placement.first_event_ms,
         )
-        self._host.load_changed()
+        self._context.load_changed()
         reservations = tuple(
             Reservation(each.entry.address, self.ticket(each.entry.name), each.stored)
             for each in self._placement.helpers
@@ -132,7 +134,7 @@
         )
         if reservations:
             user = self._placement.entry.address
-            self._hold = self._host.reservations.hold(
+            self._hold = self._context.reservations.hold(
                 reservations, user, self._held, self._user_gone
             )
             return
@@ -150,8 +152,8 @@
         address = self._placement.entry.address
         request = self._exchange.outgoing(self, self._placement)
         fresh = not self._exchange.route.repeatable
-        self.sent_at = self._host.loop.now()
-        self._call = self._host.pool.call(address, self, request, fresh=fresh)
+        self.sent_at = self._context.loop.now()
+        self._call = self._context.pool.call(address, self, request, fresh=fresh)
         self._exchange.watch_silence(self._placement)
 
     def _user_gone(self) -> None:
@@ -163,8 +165,8 @@
         if self._writing or self._finished:
             return
         self._writing = True
-        self._host.table.prompt_read(self._key)
-        self._host.load_changed()
+        self._context.table.prompt_read(self._key)
+        self._context.load_changed()
 
     def cancel(self) -> None:
         """Stop the endpoint's work."""
@@ -179,12 +181,12 @@
         self._finished = True
         if self._hold is not None:
             self._hold.release()
-        self._host.table.end(self._key, self._host.loop.now())
-        self._host.load_changed()
+        self._context.table.end(self._key, self._context.loop.now())
+        self._context.load_changed()
 
     def began(self, status: int, headers: Headers) -> None:
         """Take the start of the answer."""
-        self.reply = self._host.dialect.read_reply(self._exchange.request, status, headers)
+        self.reply = self._context.dialect.read_reply(self._exchange.request, status, headers)
         self._exchange.attempt_began(self, self.reply)
 
     def data(self, content: bytes) -> None:
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -20,7 +20,7 @@
 from brassdrum.gateway.placing.placement import Need, Placement, Verdict, judge
 from brassdrum.gateway.request.attempt import Attempt, helper_name
 from brassdrum.gateway.request.events import EventOrderError, EventReader
-from brassdrum.gateway.request.exchange_host import ExchangeHost
+from brassdrum.gateway.request.exchange_context import ExchangeContext
 from brassdrum.gateway.request.outcome import Outcome, Report, Timing
 from brassdrum.gateway.request.patience import (
     WaitTimes,
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        host: ExchangeHost,
+        context: ExchangeContext,
         connection: CallerConnection,
         request: DeclaredRequest,
         body: bytes,
@@ -79,7 +79,7 @@
         self.tried: set[str] = set()
         self.sends = 0
         self.story: list[dict[str, object]] = []
-        self._host = host
+        self._context = context
         self._connection = connection
         self._body = body
         self._deadline = self.arrived + min(request.patience, route.timeout)
@@ -91,11 +91,11 @@
         self._done = False
         self._attempt: Attempt | None = None
         self._reader = EventReader(request.resume_after)
-        self._silence = SilenceWatch(host.loop, self)
+        self._silence = SilenceWatch(context.loop, self)
         self._held: Timer | None = None
         self._waits = False
         self._waits_for_place = False
-        self._deadline_timer = host.loop.call_at(
+        self._deadline_timer = context.loop.call_at(
             self._deadline + _DEADLINE_GRACE_SECONDS, self._time_is_up
         )
 
@@ -109,7 +109,7 @@
     @property
     def time_left(self) -> float:
         """Return the seconds until the answer must be whole."""
-        return self._deadline - self._host.loop.now()
+        return self._deadline - self._context.loop.now()
 
     def need(self) -> Need:
         """Return what the request asks of an endpoint."""
@@ -120,7 +120,7 @@
             self.request.answer_tokens,
             self.route.objective * 1000,
             round(pause * 1000) if self.route.streams else None,
-            (self._host.loop.now() - self.arrived) * 1000,
+            (self._context.loop.now() - self.arrived) * 1000,
             self.times.patience * 1000,
         )
 
@@ -150,16 +150,16 @@
             return
         culprit = attempt.endpoint
         if reply.culprit is not None:
-            culprit = self._host.knowledge.find(reply.culprit) or culprit
+            culprit = self._context.knowledge.find(reply.culprit) or culprit
         if reply.kind is ReplyKind.WRONG_ENDPOINT and culprit == attempt.endpoint:
-            self._host.beliefs.address_reused(attempt.endpoint)
+            self._context.beliefs.address_reused(attempt.endpoint)
         elif culprit != attempt.endpoint:
-            self._host.beliefs.endpoint_failed(
+            self._context.beliefs.endpoint_failed(
                 culprit, certain=True, detail="named by another endpoint"
             )
         elif attempt.leaves_room:
             # One that is full serves again in a moment; one that leaves, or is broken, does not.
-            self._host.beliefs.endpoint_failed(
+            self._context.beliefs.endpoint_failed(
                 culprit, certain=True, detail="it turns requests away though it has room"
             )
         self._retry_unrun(attempt, f"the endpoint answered {reply.status}, not run")
@@ -191,8 +191,8 @@
         if reply.kind is ReplyKind.FAILURE:
             self._endpoint_refused(attempt, reply)
             return
-        self._host.beliefs.endpoint_served(attempt.endpoint)
-        self._host.guard.served(self.content)
+        self._context.beliefs.endpoint_served(attempt.endpoint)
+        self._context.guard.served(self.content)
         if not self.route.streams:
             self._end(Outcome.SERVED, reply.status, "")
             self._connection.answer(reply.status, reply.headers, bytes(attempt.body))
@@ -209,7 +209,7 @@
         """Try again where that does no harm."""
         attempt.finish()
         if how is Break.NOT_SENT:
-            self._host.beliefs.endpoint_failed(attempt.endpoint, certain=True, detail=detail)
+            self._context.beliefs.endpoint_failed(attempt.endpoint, certain=True, detail=detail)
             self.sends -= 1
             self._unsent += 1
             self._retry_unrun(attempt, detail)
@@ -217,43 +217,43 @@
         began = how is Break.ANSWER_CUT
         proven = began or not attempt.reused
         lost = LostRequest(self.request.id, self.content, began, proven, attempt.sent_at)
-        self._host.answer_broke(attempt, lost)
+        self._context.response_interrupted(attempt, lost)
         self._attempt_lost(attempt, detail, certain=False)
 
     def _send(self) -> None:
         """Choose endpoints and send; nothing else of this request is under way then."""
         self._silence.stop()
-        standing = self._host.guard.standing(self.content, self.tried)
+        standing = self._context.guard.standing(self.content, self.tried)
         if standing is Standing.QUARANTINED:
             self._stop_waiting()
             self._keep_from_endpoints()
             return
         if standing is Standing.UNDECIDED:
             # Other daemons may know who else was at the ends, or have just sent the same content.
-            self._hold_back(self._host.guard.settles_in(self.content, self.tried))
+            self._hold_back(self._context.guard.settles_in(self.content, self.tried))
             return
         need = self.need()
-        placement = self._host.place(self, need)
+        placement = self._context.place(self, need)
         if placement is None:
             self._stop_waiting()
             self._fail("no endpoint takes the request")
             return
         verdict = judge(need, placement)
-        if verdict is Verdict.WAIT and not self._host.may_wait(self):
+        if verdict is Verdict.WAIT and not self._context.may_wait(self):
             verdict = Verdict.SEND
         if verdict is Verdict.WAIT and self._wait(placement):
             return
         self._stop_waiting(served=verdict is Verdict.SEND)
         if verdict is not Verdict.SEND and not self._may_have_run and not self._began:
             detail = "every place is taken" if placement.full else "others would lose more by it"
-            self._fail(detail, self._host.line.retry_seconds())
+            self._fail(detail, self._context.wait_queue.retry_seconds())
             return
         self.sends += 1
         self.tried.add(placement.entry.id)
-        self._host.guard.sent(standing, placement.entry.id)
+        self._context.guard.sent(standing, placement.entry.id)
         self._note_placed(placement, standing)
-        self.timing.expect(self._host.loop.now(), placement.first_event_ms)
-        self._attempt = Attempt(self._host, self, placement)
+        self.timing.expect(self._context.loop.now(), placement.first_event_ms)
+        self._attempt = Attempt(self._context, self, placement)
         self._attempt.start()
 
     def look_again(self) -> bool:
@@ -263,11 +263,11 @@
 
     def _wait(self, placement: Placement) -> bool:
         """Wait for a better placement; return False where that is in vain."""
-        now = self._host.loop.now()
+        now = self._context.loop.now()
         self._waits_for_place = placement.full
         self.times.expect(placement, now)
         late = now > self.times.timely_until
-        if late and placement.full and not self._host.line.keeps_late(self):
+        if late and placement.full and not self._context.wait_queue.keeps_late(self):
             return False
         if self._waits:
             return True
@@ -279,41 +279,41 @@
             full=placement.full,
             predicted_ms=round(placement.first_event_ms),
         )
-        self._host.line.join(self)
+        self._context.wait_queue.join(self)
         return True
 
     def _stop_waiting(self, *, served: bool = False) -> None:
         if self._waits:
             self._waits = self._waits_for_place = False
-            self._host.line.leave(self, served=served)
+            self._context.wait_queue.leave(self, served=served)
 
     def _note_placed(self, placement: Placement, standing: Standing) -> None:
-        age = self._host.beliefs.list_age()
+        age = self._context.beliefs.list_age()
         self._decided(
             log_events.PLACED,
             endpoint=placement.entry.id,
             helpers=[each.entry.id for each in placement.helpers],
             predicted_ms=round(placement.first_event_ms),
-            waited_ms=round((self._host.loop.now() - self.arrived) * 1000),
+            waited_ms=round((self._context.loop.now() - self.arrived) * 1000),
             harm=round(placement.harm),
             late=round(placement.late),
             reason=placement.reason,
             send=self.sends,
-            version=self._host.knowledge.version,
+            version=self._context.knowledge.version,
             list_age=None if age is None else round(age, 3),
             standing=standing.name.lower(),
         )
 
     def _decided(self, event: LogEvent, **values: object) -> None:
         """Log a decision, and keep it for the line that explains a failure."""
-        self._host.decided(event, request=self.request.id, content=self.content, **values)
+        self._context.log_decision(event, request=self.request.id, content=self.content, **values)
         if len(self.story) < _LONGEST_STORY:
-            at = round((self._host.loop.now() - self.arrived) * 1000)
+            at = round((self._context.loop.now() - self.arrived) * 1000)
             self.story.append({"at_ms": at, "event": event.name, **values})
 
     def report(self) -> Report:
         """Return how long the request took."""
-        return self.timing.report(self.route, self._host.loop.now())
+        return self.timing.report(self.route, self._context.loop.now())
 
     def memory_refused(self, attempt: Attempt) -> None:
         """Choose other engines for a prompt that is stored in parts; nothing was sent yet."""
@@ -334,13 +334,13 @@
             time_left=max(0.001, self.time_left),
             resume_after=self._reader.last_id,
         )
-        headers = self._host.dialect.endpoint_headers(self.request, sending)
+        headers = self._context.dialect.endpoint_headers(self.request, sending)
         if self._body or self.request.method not in (b"GET", b"HEAD"):
             headers.append((b"Content-Length", b"%d" % len(self._body)))
         return OutgoingRequest(self.request.method, self.request.target, headers, self._body)
 
     def _pass_on(self, attempt: Attempt, reply: Reply, events: bytes) -> None:
-        self.timing.event(self._host.loop.now())
+        self.timing.event(self._context.loop.now())
         attempt.writes()
         if not self._began:
             self._began = True
@@ -352,7 +352,9 @@
     def _endpoint_refused(self, attempt: Attempt, reply: Reply) -> None:
         """Handle an endpoint's own failure: the request ran there."""
         self._may_have_run = True
-        self._host.beliefs.endpoint_answered_failure(attempt.endpoint, f"answered {reply.status}")
+        self._context.beliefs.endpoint_answered_failure(
+            attempt.endpoint, f"answered {reply.status}"
+        )
         if reply.status >= 500 and self.route.repeatable and self._may_send_again():
             self._again(f"the endpoint answered {reply.status}")
             return
@@ -370,7 +372,7 @@
         attempt.finish()
         free = self._unsent <= _MOST_UNSENT and self.time_left > _REPEAT_LEAST_SECONDS
         allowed = self.sends < self.route.max_attempts and free
-        if allowed and (self.sends == 0 or self._host.may_repeat(self.service)):
+        if allowed and (self.sends == 0 or self._context.consume_retry(self.service)):
             self._again(detail)
             return
         self._fail(detail)
@@ -378,7 +380,7 @@
     def _attempt_lost(self, attempt: Attempt, detail: str, *, certain: bool) -> None:
         attempt.finish()
         self._may_have_run = True
-        self._host.beliefs.endpoint_failed(attempt.endpoint, certain=certain, detail=detail)
+        self._context.beliefs.endpoint_failed(attempt.endpoint, certain=certain, detail=detail)
         if self.route.repeatable and self._may_send_again():
             self._again(detail)
             return
@@ -387,7 +389,7 @@
     def _may_send_again(self) -> bool:
         if self.sends >= self.route.max_attempts or self.time_left < _REPEAT_LEAST_SECONDS:
             return False
-        return self._host.may_repeat(self.service)
+        return self._context.consume_retry(self.service)
 
     def _again(self, detail: str) -> None:
         assert self._attempt is not None
@@ -397,7 +399,7 @@
             reason=detail,
             sends=self.sends,
             after_event=self._reader.last_id,
-            budget=round(self._host.budget_left(self.service), 1),
+            budget=round(self._context.retries_left(self.service), 1),
         )
         self._reader = EventReader(self._reader.last_id)
         self._send()
@@ -415,7 +417,7 @@
     def reading_seconds(self) -> float:
         """Return how long the present attempt's endpoint has to read."""
         assert self._attempt is not None
-        return self._host.table.total(self._attempt.endpoint).reading_ms / 1000
+        return self._context.table.total(self._attempt.endpoint).reading_ms / 1000
 
     def fell_silent(self, *, certain: bool) -> None:
         """Send the request elsewhere when its endpoint is silent."""
@@ -442,10 +444,10 @@
             return False
         if not self._more_sends() or not self._host_has_other(attempt):
             return False
-        return self._host.budget_left(self.service) >= 1.0
+        return self._context.retries_left(self.service) >= 1.0
 
     def _host_has_other(self, attempt: Attempt) -> bool:
-        usable = self._host.knowledge.usable(self.service)
+        usable = self._context.knowledge.usable(self.service)
         return any(entry.id != attempt.endpoint for entry in usable)
 
     def _time_is_up(self) -> None:
@@ -461,7 +463,7 @@
             self._connection.abort()
             return
         if not self._may_have_run:
-            left = self.request.patience - (self._host.loop.now() - self.arrived)
+            left = self.request.patience - (self._context.loop.now() - self.arrived)
             self._refuse(detail, retry_after(come_back, left))
             return
         status = 504 if self.time_left <= 0 else 502
@@ -475,11 +477,11 @@
             self._fail(detail)
             return
         # The whole time, although callers seldom wait that long: to come sooner would be in vain.
-        self._refuse(detail, retry_after(self._host.guard.seconds_left(self.content), math.inf))
+        self._refuse(detail, retry_after(self._context.guard.seconds_left(self.content), math.inf))
 
     def _hold_back(self, seconds: float) -> None:
         self._stop_waiting()
-        self._held = self._host.loop.call_later(seconds, self._send)
+        self._held = self._context.loop.call_later(seconds, self._send)
 
     def _refuse(self, detail: str, headers: Headers) -> None:
         self._end(Outcome.REFUSED, 503, detail)
@@ -504,4 +506,4 @@
         self._stop_waiting()
         if self._held is not None:
             self._held.cancel()
-        self._host.ended(self, outcome, status, detail)
+        self._context.exchange_finished(self, outcome, status, detail)
--- a/src/brassdrum/gateway/request/exchange_host.py
+++ b/src/brassdrum/gateway/request/exchange_context.py
@@ -9,7 +9,7 @@
 from brassdrum.gateway.guards.crash_guard import CrashGuard
 from brassdrum.gateway.guards.endings import LostRequest
 from brassdrum.gateway.placing.placement import Need, Placement
-from brassdrum.gateway.request.attempt import Attempt, AttemptHost
+from brassdrum.gateway.request.attempt import Attempt, AttemptContext
 from brassdrum.gateway.request.outcome import Outcome
 from brassdrum.gateway.request.waiting import WaitingLine
 from brassdrum.telemetry.log_events import LogEvent
@@ -17,15 +17,15 @@
 if TYPE_CHECKING:
     from brassdrum.gateway.request.exchange import Exchange
 
-__all__ = ["ExchangeHost"]
+__all__ = ["ExchangeContext"]
 
 
-class ExchangeHost(AttemptHost, Protocol):
+class ExchangeContext(AttemptContext, Protocol):
     """Give an exchange what it shares with all others of this daemon."""
 
     knowledge: Knowledge
     beliefs: Beliefs
-    line: WaitingLine
+    wait_queue: WaitingLine
     guard: CrashGuard
 
     def place(self, exchange: Exchange, need: Need) -> Placement | None:
@@ -34,17 +34,19 @@
     def may_wait(self, exchange: Exchange) -> bool:
         """Return whether a request may wait for calmer engines."""
 
-    def may_repeat(self, service: str) -> bool:
+    def consume_retry(self, service: str) -> bool:
         """Take one repeated send from the shared budget, or return False."""
 
-    def decided(self, event: LogEvent, **values: object) -> None:
+    def log_decision(self, event: LogEvent, **values: object) -> None:
         """Log a decision that touches a request."""
 
-    def answer_broke(self, attempt: Attempt, lost: LostRequest) -> None:
+    def response_interrupted(self, attempt: Attempt, lost: LostRequest) -> None:
         """Learn that an endpoint broke off an answer without saying why."""
 
-    def budget_left(self, service: str) -> float:
+    def retries_left(self, service: str) -> float:
         """Return how many repeats this daemon may still send."""
 
-    def ended(self, exchange: Exchange, outcome: Outcome, status: int, detail: str) -> None:
+    def exchange_finished(
+        self, exchange: Exchange, outcome: Outcome, status: int, detail: str
+    ) -> None:
         """Learn that a request got its final answer."""
