--- a/src/brassdrum/gateway/request/attempt.py
+++ b/src/brassdrum/gateway/request/attempt.py
@@ -1,4 +1,4 @@
-"""Hold one send of a request: its call, its held memory and its part of the shared picture."""
+"""One attempt at an endpoint: its call, its memory reservations and its entry in the load table."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 __all__ = ["Attempt", "AttemptContext", "AttemptOwner", "helper_name"]
 
-# An endpoint of whose places at most this part is taken has room, whatever is on its way to it.
-_ROOM_SHARE = 0.5
+# With at most this share of its slots in use an endpoint counts as having capacity.
+_MAX_USED_SLOTS_RATIO = 0.5
 
 
 class AttemptContext(Protocol):
-    """Give an attempt what it shares with all others of this daemon."""
+    """State and services of the daemon that all attempts share."""
 
     loop: EventLoop
     dialect: Dialect
@@ -35,177 +35,181 @@
     reservations: Reservations
 
     def load_changed(self) -> None:
-        """Learn that own work in flight changed."""
+        """Handle a change of this daemon's requests in flight."""
 
     def next_attempt_number(self) -> int:
-        """Return a number that no other attempt of this daemon has."""
+        """Return a number that is unique among this daemon's attempts."""
 
 
 class AttemptOwner(Protocol):
-    """Be told what becomes of an attempt; each method is called at most once but ``data``."""
+    """Receive the events of an attempt; only ``attempt_response_data`` is called repeatedly."""
 
     request: DeclaredRequest
     route: Route
 
-    def outgoing(self, attempt: Attempt, placement: Placement) -> OutgoingRequest:
-        """Return the request as an endpoint receives it."""
+    def build_request(self, attempt: Attempt, placement: Placement) -> OutgoingRequest:
+        """Return the request to send to the chosen endpoint."""
 
-    def watch_silence(self, placement: Placement | None) -> None:
-        """Give an endpoint up when it is silent for longer than its work explains."""
+    def restart_stall_timer(self, placement: Placement | None) -> None:
+        """Restart the timer that detects a stalled endpoint.
 
-    def memory_refused(self, attempt: Attempt) -> None:
-        """Learn that an endpoint has no memory for its part; nothing was sent."""
+        ``placement`` is None once the first event has arrived.
+        """
 
-    def attempt_unheard(self, attempt: Attempt) -> None:
-        """Learn that the endpoint gives no sign of life; memory held for it is given back."""
+    def reservation_refused(self, attempt: Attempt) -> None:
+        """Handle a refused memory reservation; the request was not sent."""
 
-    def attempt_began(self, attempt: Attempt, reply: Reply) -> None:
-        """Judge the start of an answer."""
+    def attempt_unresponsive(self, attempt: Attempt) -> None:
+        """Handle failed liveness checks; the memory reserved for the endpoint is released."""
 
-    def attempt_data(self, attempt: Attempt, content: bytes) -> None:
-        """Take a part of an answer."""
+    def attempt_response_started(self, attempt: Attempt, reply: Reply) -> None:
+        """Handle the status and headers of the response."""
 
-    def attempt_answered(self, attempt: Attempt) -> None:
-        """Learn that the answer is whole."""
+    def attempt_response_data(self, attempt: Attempt, content: bytes) -> None:
+        """Handle a chunk of the response body."""
 
-    def attempt_broken(self, attempt: Attempt, how: Break, detail: str) -> None:
-        """Learn that the connection broke."""
+    def attempt_completed(self, attempt: Attempt) -> None:
+        """Handle the end of a complete response."""
+
+    def attempt_connection_lost(self, attempt: Attempt, how: Break, detail: str) -> None:
+        """Handle a lost connection."""
 
 
 class Attempt:
-    """Hold one send of a request; hears its call and keeps the load table true."""
+    """Send a request to one endpoint, and keep the load table up to date meanwhile."""
 
-    def __init__(
-        self, context: AttemptContext, exchange: AttemptOwner, placement: Placement
-    ) -> None:
+    def __init__(self, context: AttemptContext, owner: AttemptOwner, placement: Placement) -> None:
         self.endpoint = placement.entry.id
         self.sent_at = context.loop.now()
         self.reply: Reply | None = None
         self.body = bytearray()
         self._context = context
-        self._exchange = exchange
+        self._owner = owner
         self._placement = placement
-        # Not the number of sends: one that was refused memory is not counted there.
-        self._number = context.next_attempt_number()
-        self._key = f"{exchange.request.id}.{self._number}"
-        self._hold: Hold | None = None
+        # Not the number of sends, which leaves out attempts without a memory reservation.
+        self._attempt_number = context.next_attempt_number()
+        self._load_key = f"{owner.request.id}.{self._attempt_number}"
+        self._reservation: Hold | None = None
         self._call: EndpointCall | None = None
-        self._writing = False
+        self._first_event_seen = False
         self._finished = False
 
     @property
-    def unproven(self) -> bool:
-        """Return whether the request was sent and nothing has proved that it did not run."""
+    def may_have_run(self) -> bool:
+        """Return whether the request was sent and is not known to be unexecuted."""
         return not self._finished and self._call is not None and self._call.sent
 
     @property
-    def reused(self) -> bool:
-        """Return whether the request went over a kept connection."""
+    def reused_connection(self) -> bool:
+        """Return whether the request was sent over a pooled connection."""
         return self._call is not None and self._call.reused
 
     @property
-    def leaves_room(self) -> bool:
-        """Return whether many places of the endpoint are known to be free after this attempt."""
+    def endpoint_has_free_slots(self) -> bool:
+        """Return whether enough slots of the endpoint are known to be free."""
         taken = self._context.table.total(self.endpoint).calls
-        return taken <= self._placement.entry.slots * _ROOM_SHARE
+        return taken <= self._placement.entry.slots * _MAX_USED_SLOTS_RATIO
 
     @property
     def finished(self) -> bool:
-        """Return whether nothing more is expected of the attempt."""
+        """Return whether the attempt is over."""
         return self._finished
 
-    def ticket(self, endpoint: str) -> str:
-        """Return the name of the memory that an endpoint holds for this attempt."""
-        return f"{self._exchange.request.id}-{self._number}-{endpoint}"
+    def reservation_id(self, endpoint: str) -> str:
+        """Return the identifier of the memory that an endpoint reserves for this attempt."""
+        return f"{self._owner.request.id}-{self._attempt_number}-{endpoint}"
 
     def start(self) -> None:
-        """Send the request, after the memory of its parts is held."""
+        """Reserve memory at the helpers, if needed, and send the request."""
         self._context.table.start(
-            self._key,
+            self._load_key,
             self._placement.shares,
             self._context.loop.now(),
             self._placement.first_event_ms,
         )
         self._context.load_changed()
         reservations = tuple(
-            Reservation(each.entry.address, self.ticket(each.entry.name), each.stored)
+            Reservation(each.entry.address, self.reservation_id(each.entry.name), each.stored)
             for each in self._placement.helpers
             if each.stored
         )
         if reservations:
-            user = self._placement.entry.address
-            self._hold = self._context.reservations.hold(
-                reservations, user, self._held, self._user_gone
+            endpoint_address = self._placement.entry.address
+            self._reservation = self._context.reservations.hold(
+                reservations,
+                endpoint_address,
+                self._reservation_answered,
+                self._endpoint_unresponsive,
             )
             return
         self._send()
 
-    def _held(self, granted: bool) -> None:
+    def _reservation_answered(self, granted: bool) -> None:
         if self._finished:
             return
         if granted:
             self._send()
         else:
-            self._exchange.memory_refused(self)
+            self._owner.reservation_refused(self)
 
     def _send(self) -> None:
         address = self._placement.entry.address
-        request = self._exchange.outgoing(self, self._placement)
-        fresh = not self._exchange.route.repeatable
+        request = self._owner.build_request(self, self._placement)
+        fresh = not self._owner.route.repeatable
         self.sent_at = self._context.loop.now()
         self._call = self._context.pool.call(address, self, request, fresh=fresh)
-        self._exchange.watch_silence(self._placement)
+        self._owner.restart_stall_timer(self._placement)
 
-    def _user_gone(self) -> None:
+    def _endpoint_unresponsive(self) -> None:
         if not self._finished:
-            self._exchange.attempt_unheard(self)
+            self._owner.attempt_unresponsive(self)
 
-    def writes(self) -> None:
-        """Note that the first event came: the prompt is read."""
-        if self._writing or self._finished:
+    def first_event_received(self) -> None:
+        """Record that prefill is complete and decoding has begun."""
+        if self._first_event_seen or self._finished:
             return
-        self._writing = True
-        self._context.table.prompt_read(self._key)
+        self._first_event_seen = True
+        self._context.table.prompt_read(self._load_key)
         self._context.load_changed()
 
     def cancel(self) -> None:
-        """Stop the endpoint's work."""
+        """Cancel the call, so that the endpoint stops its work."""
         if self._call is not None and not self._finished:
             self._call.cancel()
         self.finish()
 
     def finish(self) -> None:
-        """Give back what the attempt took of the shared picture."""
+        """Release the reservations and the entry in the load table."""
         if self._finished:
             return
         self._finished = True
-        if self._hold is not None:
-            self._hold.release()
-        self._context.table.end(self._key, self._context.loop.now())
+        if self._reservation is not None:
+            self._reservation.release()
+        self._context.table.end(self._load_key, self._context.loop.now())
         self._context.load_changed()
 
     def began(self, status: int, headers: Headers) -> None:
-        """Take the start of the answer."""
-        self.reply = self._context.dialect.read_reply(self._exchange.request, status, headers)
-        self._exchange.attempt_began(self, self.reply)
+        """Handle the status and headers of the response."""
+        self.reply = self._context.dialect.read_reply(self._owner.request, status, headers)
+        self._owner.attempt_response_started(self, self.reply)
 
     def data(self, content: bytes) -> None:
-        """Take a part of the answer's body."""
+        """Handle a chunk of the response body."""
         if not self._finished:
-            self._exchange.attempt_data(self, content)
+            self._owner.attempt_response_data(self, content)
 
     def answered(self) -> None:
-        """Learn that the answer is whole."""
+        """Handle the end of a complete response."""
         if not self._finished:
-            self._exchange.attempt_answered(self)
+            self._owner.attempt_completed(self)
 
     def broken(self, how: Break, detail: str) -> None:
-        """Learn that the connection broke."""
+        """Handle a lost connection."""
         if not self._finished:
-            self._exchange.attempt_broken(self, how, detail)
+            self._owner.attempt_connection_lost(self, how, detail)
 
 
 def helper_name(attempt: Attempt, helper: Helper) -> HelperName:
-    """Return how a request names a helper and the memory that it holds."""
-    ticket = attempt.ticket(helper.entry.name) if helper.stored else None
-    return HelperName(helper.entry.address, ticket)
+    """Return the helper's address with the identifier of its memory reservation, if it has one."""
+    reservation = attempt.reservation_id(helper.entry.name) if helper.stored else None
+    return HelperName(helper.entry.address, reservation)
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -140,7 +140,7 @@
         self._stop_attempt()
         self._fail(detail)
 
-    def attempt_began(self, attempt: Attempt, reply: Reply) -> None:
+    def attempt_response_started(self, attempt: Attempt, reply: Reply) -> None:
         """Judge the start of an answer."""
         if reply.kind is ReplyKind.SUCCESS or reply.kind is ReplyKind.FAILURE:
             return
@@ -157,14 +157,14 @@
             self._context.beliefs.endpoint_failed(
                 culprit, certain=True, detail="named by another endpoint"
             )
-        elif attempt.leaves_room:
+        elif attempt.endpoint_has_free_slots:
             # One that is full serves again in a moment; one that leaves, or is broken, does not.
             self._context.beliefs.endpoint_failed(
                 culprit, certain=True, detail="it turns requests away though it has room"
             )
         self._retry_unrun(attempt, f"the endpoint answered {reply.status}, not run")
 
-    def attempt_data(self, attempt: Attempt, content: bytes) -> None:
+    def attempt_response_data(self, attempt: Attempt, content: bytes) -> None:
         """Pass on what is whole."""
         reply = attempt.reply
         assert reply is not None
@@ -183,7 +183,7 @@
         if events:
             self._pass_on(attempt, reply, events)
 
-    def attempt_answered(self, attempt: Attempt) -> None:
+    def attempt_completed(self, attempt: Attempt) -> None:
         """Give the caller a whole answer."""
         reply = attempt.reply
         assert reply is not None
@@ -205,7 +205,7 @@
         self._end(Outcome.SERVED, reply.status, "")
         self._connection.end()
 
-    def attempt_broken(self, attempt: Attempt, how: Break, detail: str) -> None:
+    def attempt_connection_lost(self, attempt: Attempt, how: Break, detail: str) -> None:
         """Try again where that does no harm."""
         attempt.finish()
         if how is Break.NOT_SENT:
@@ -215,7 +215,7 @@
             self._retry_unrun(attempt, detail)
             return
         began = how is Break.ANSWER_CUT
-        proven = began or not attempt.reused
+        proven = began or not attempt.reused_connection
         lost = LostRequest(self.request.id, self.content, began, proven, attempt.sent_at)
         self._context.response_interrupted(attempt, lost)
         self._attempt_lost(attempt, detail, certain=False)
@@ -315,7 +315,7 @@
         """Return how long the request took."""
         return self.timing.report(self.route, self._context.loop.now())
 
-    def memory_refused(self, attempt: Attempt) -> None:
+    def reservation_refused(self, attempt: Attempt) -> None:
         """Choose other engines for a prompt that is stored in parts; nothing was sent yet."""
         attempt.finish()
         self.sends -= 1
@@ -323,7 +323,7 @@
         self.tried.discard(attempt.endpoint)
         self._retry_unrun(attempt, "an endpoint has no memory for its part")
 
-    def outgoing(self, attempt: Attempt, placement: Placement) -> OutgoingRequest:
+    def build_request(self, attempt: Attempt, placement: Placement) -> OutgoingRequest:
         """Return the request as an endpoint receives it."""
         organisation = None if self.organisation is None else self.organisation.name
         sending = Sending(
@@ -341,13 +341,13 @@
 
     def _pass_on(self, attempt: Attempt, reply: Reply, events: bytes) -> None:
         self.timing.event(self._context.loop.now())
-        attempt.writes()
+        attempt.first_event_received()
         if not self._began:
             self._began = True
             self._connection.begin(reply.status, reply.headers)
         self._connection.data(events)
         if not self._done:
-            self.watch_silence(None)
+            self.restart_stall_timer(None)
 
     def _endpoint_refused(self, attempt: Attempt, reply: Reply) -> None:
         """Handle an endpoint's own failure: the request ran there."""
@@ -404,7 +404,7 @@
         self._reader = EventReader(self._reader.last_id)
         self._send()
 
-    def watch_silence(self, placement: Placement | None) -> None:
+    def restart_stall_timer(self, placement: Placement | None) -> None:
         """Give an endpoint up when it is silent for longer than its work explains."""
         self._silence.stop()
         if self._more_sends():
@@ -425,7 +425,7 @@
         self._attempt.cancel()
         self._attempt_lost(self._attempt, "the endpoint is silent", certain=certain)
 
-    def attempt_unheard(self, attempt: Attempt) -> None:
+    def attempt_unresponsive(self, attempt: Attempt) -> None:
         """Send the request elsewhere when its endpoint gives no sign of life."""
         if not self._can_replace(attempt):
             return
@@ -490,7 +490,7 @@
     def _stop_attempt(self) -> None:
         if self._attempt is not None:
             # A request that was sent may have run: no refusal may say otherwise from here on.
-            self._may_have_run = self._may_have_run or self._attempt.unproven
+            self._may_have_run = self._may_have_run or self._attempt.may_have_run
             self._attempt.cancel()
 
     def _end(self, outcome: Outcome, status: int, detail: str) -> None:
