--- a/features/steps/starting_steps.py
+++ b/features/steps/starting_steps.py
@@ -7,7 +7,7 @@
 
 from brassdrum.bench.load.loop import SimulatedLoop
 from brassdrum.gateway.model import DeclaredRequest, RequestHead
-from brassdrum.gateway.request.early import EarlyRequests
+from brassdrum.gateway.request.held_requests import HeldRequestQueue
 from features.gateway_world import configuration
 from features.steps.gateway_steps import send, start
 
@@ -25,7 +25,7 @@
 def step_nothing_known(context):
     context.loop = SimulatedLoop()
     context.refused = []
-    context.early = EarlyRequests(
+    context.early = HeldRequestQueue(
         context.loop, lambda early, _detail: context.refused.append(early.request.id)
     )
     context.arrived_by_caller = {}
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -46,8 +46,8 @@
 from brassdrum.gateway.placing.reservations import Reservations
 from brassdrum.gateway.request.admission import Refusal, admit
 from brassdrum.gateway.request.attempt import Attempt
-from brassdrum.gateway.request.early import EarlyRequest, EarlyRequests, longest_hold
 from brassdrum.gateway.request.exchange import Exchange
+from brassdrum.gateway.request.held_requests import HeldRequest, HeldRequestQueue, max_hold_seconds
 from brassdrum.gateway.request.outcome import Outcome
 from brassdrum.gateway.request.patience import longest_retry
 from brassdrum.gateway.request.retry_budget import SharedRetryBudget
@@ -109,7 +109,7 @@
         self._budget_by_service: dict[str, SharedRetryBudget] = {}
         self._connections: set[CallerConnection] = set()
         self._exchanges: set[Exchange] = set()
-        self._early = EarlyRequests(self.loop, self._refuse_early)
+        self._early = HeldRequestQueue(self.loop, self._refuse_early)
         self._state = _CHART.initial
         self._stop: PlannedStop | None = None
         self.guard = CrashGuard(self.loop, self.table)
@@ -242,7 +242,7 @@
 
     def _hold_early(
         self, connection: CallerConnection, head: RequestHead, body: bytes
-    ) -> EarlyRequest | None:
+    ) -> HeldRequest | None:
         """Let a request wait for the first configuration; return None where it may not."""
         try:
             request = self.dialect.read_request(head)
@@ -252,14 +252,14 @@
         early = self._early.hold(connection, head, body, request)
         if early is not None:
             log_events.HELD.write(
-                _logger, request=request.id, seconds=round(longest_hold(request), 2)
+                _logger, request=request.id, seconds=round(max_hold_seconds(request), 2)
             )
         return early
 
-    def _handle_early(self, early: EarlyRequest) -> Exchange | None:
+    def _handle_early(self, early: HeldRequest) -> Exchange | None:
         return self._handle(early.connection, early.head, early.body, early.arrived)
 
-    def _refuse_early(self, early: EarlyRequest, detail: str) -> None:
+    def _refuse_early(self, early: HeldRequest, detail: str) -> None:
         """Ask a caller to come back as late as it does: nobody knows when the store is back."""
         left = early.request.patience - (self.loop.now() - early.arrived)
         seconds = _LEAVING_RETRY_SECONDS if self.closing() else longest_retry(left)
