--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -11,7 +11,7 @@
 from brassdrum.gateway.placing.load import LoadTable
 from brassdrum.gateway.placing.placement import Placement
 from brassdrum.gateway.request.exchange import Exchange
-from brassdrum.gateway.request.waiting import WaitingLine
+from brassdrum.gateway.request.wait_queue import WaitQueue
 from brassdrum.platform.dialect import PlatformDialect
 from features.gateway_world import HOST, SERVICE, route
 
@@ -89,7 +89,7 @@
         self.knowledge = Knowledge(self.entries)
         self.harm = 0.0
         self.guard = CrashGuard(self.loop, self.table)
-        self.wait_queue = WaitingLine(self.loop, lambda seconds: seconds)
+        self.wait_queue = WaitQueue(self.loop, lambda seconds: seconds)
         self._numbers = itertools.count()
 
     def place(self, exchange, need):
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -88,7 +88,7 @@
     """Let late requests wait as long as their callers may."""
 
     def adjust(daemon):
-        daemon.wait_queue.keeps_late = lambda _waiter: True
+        daemon.wait_queue.admits_late = lambda _waiter: True
 
     return Variant(adjust=adjust)
 
--- a/src/brassdrum/bench/load/daemon.py
+++ b/src/brassdrum/bench/load/daemon.py
@@ -33,7 +33,7 @@
 from brassdrum.gateway.request.attempt import Attempt
 from brassdrum.gateway.request.exchange import Exchange
 from brassdrum.gateway.request.outcome import Outcome
-from brassdrum.gateway.request.waiting import WaitingLine
+from brassdrum.gateway.request.wait_queue import WaitQueue
 from brassdrum.telemetry.log_events import PLACED, LogEvent
 
 __all__ = ["SERVICE", "Fleet", "Prediction", "SimulatedDaemon"]
@@ -218,7 +218,7 @@
         self.knowledge = _Knowledge(fleet)
         self.guard = CrashGuard(self.loop, self.table)
         self.reservations = _Reservations(self)
-        self.wait_queue = WaitingLine(self.loop, lambda seconds: seconds * rng.uniform(0.6, 1.4))
+        self.wait_queue = WaitQueue(self.loop, lambda seconds: seconds * rng.uniform(0.6, 1.4))
         self.peers = Peers(
             self.loop,
             fleet.network.join(address.host),
@@ -285,7 +285,7 @@
 
     def load_changed(self) -> None:
         """Look at the line, and tell peers soon."""
-        self.wait_queue.place_freed()
+        self.wait_queue.schedule_review()
         self.peers.changed()
 
 
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -51,7 +51,7 @@
 from brassdrum.gateway.request.outcome import Outcome
 from brassdrum.gateway.request.patience import longest_retry
 from brassdrum.gateway.request.retry_budget import SharedRetryBudget
-from brassdrum.gateway.request.waiting import WaitingLine
+from brassdrum.gateway.request.wait_queue import WaitQueue
 from brassdrum.gateway.stopping import PlannedStop, declared_duration
 from brassdrum.telemetry import log_events
 from brassdrum.telemetry.log_events import LogEvent
@@ -102,7 +102,7 @@
         )
         self._numbers = itertools.count(1)
         self._random = rng or random.Random()
-        self.wait_queue = WaitingLine(self.loop, self._jitter)
+        self.wait_queue = WaitQueue(self.loop, self._jitter)
         self._store = store
         self._policy = policies.get(settings.policy)
         self._chooser = Chooser(settings.name, self.table, self._random, self._flush_seconds)
@@ -337,7 +337,7 @@
     def load_changed(self) -> None:
         """Look at the waiting requests, and tell peers soon."""
         assert self._peers is not None
-        self.wait_queue.place_freed()
+        self.wait_queue.schedule_review()
         self._peers.changed()
 
     def log_decision(self, event: LogEvent, **values: object) -> None:
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -246,7 +246,7 @@
         self._stop_waiting(served=verdict is Verdict.SEND)
         if verdict is not Verdict.SEND and not self._may_have_run and not self._began:
             detail = "every place is taken" if placement.full else "others would lose more by it"
-            self._fail(detail, self._context.wait_queue.retry_seconds())
+            self._fail(detail, self._context.wait_queue.retry_after_seconds())
             return
         self.sends += 1
         self.tried.add(placement.entry.id)
@@ -256,7 +256,7 @@
         self._attempt = Attempt(self._context, self, placement)
         self._attempt.start()
 
-    def look_again(self) -> bool:
+    def retry_placement(self) -> bool:
         """Send the request if an endpoint suits now; return False while every place is taken."""
         self._send()
         return not self._waits_for_place
@@ -267,7 +267,7 @@
         self._waits_for_place = placement.full
         self.times.expect(placement, now)
         late = now > self.times.timely_until
-        if late and placement.full and not self._context.wait_queue.keeps_late(self):
+        if late and placement.full and not self._context.wait_queue.admits_late(self):
             return False
         if self._waits:
             return True
@@ -279,13 +279,13 @@
             full=placement.full,
             predicted_ms=round(placement.first_event_ms),
         )
-        self._context.wait_queue.join(self)
+        self._context.wait_queue.add(self)
         return True
 
     def _stop_waiting(self, *, served: bool = False) -> None:
         if self._waits:
             self._waits = self._waits_for_place = False
-            self._context.wait_queue.leave(self, served=served)
+            self._context.wait_queue.remove(self, served=served)
 
     def _note_placed(self, placement: Placement, standing: Standing) -> None:
         age = self._context.beliefs.list_age()
--- a/src/brassdrum/gateway/request/waiting.py
+++ b/src/brassdrum/gateway/request/wait_queue.py
@@ -9,22 +9,22 @@
 from brassdrum.gateway.net.loop import EventLoop, Timer
 from brassdrum.gateway.request.patience import WaitTimes
 
-__all__ = ["Waiter", "WaitingLine"]
+__all__ = ["WaitingRequest", "WaitQueue"]
 
 # All waiting requests are looked at again after this at the latest: a pass takes about 45 ms.
-_REVIEW_SECONDS = 0.02
+_REVIEW_INTERVAL_SECONDS = 0.02
 # As many late requests may wait as were served in this time, which is what callers of short
 # prompts wait at most, and these more, to learn whether places have become free again.
-_LATE_SPAN_SECONDS = 1.5
+_LATE_WINDOW_SECONDS = 1.5
 _LATE_PROBES = 2
 # A line that was empty for this long is no longer the same overload.
-_CALM_SECONDS = 0.5
+_OVERLOAD_RESET_SECONDS = 0.5
 # The shortest and longest times after which a refused caller is asked to come back.
-_LEAST_RETRY_SECONDS = 0.5
-_MOST_RETRY_SECONDS = 8.0
+_MIN_RETRY_AFTER_SECONDS = 0.5
+_MAX_RETRY_AFTER_SECONDS = 8.0
 
 
-class Waiter(Protocol):
+class WaitingRequest(Protocol):
     """Wait for an endpoint."""
 
     service: str
@@ -34,11 +34,11 @@
     def priority(self) -> int:
         """Return how urgent the request is; 0 is first."""
 
-    def look_again(self) -> bool:
+    def retry_placement(self) -> bool:
         """Send the request if an endpoint suits now; return False while every place is taken."""
 
 
-class WaitingLine:
+class WaitQueue:
     """Order waiting requests: urgent ones, then those that can be in time, the shortest work first.
 
     A request grows older as fast as work grows longer: after a second's wait it goes before one
@@ -52,81 +52,87 @@
         self._loop = loop
         self._jitter = jitter
         # In order of arrival, so that a seeded play repeats.
-        self._waiters: dict[Waiter, None] = {}
-        self._tick: Timer | None = None
-        self._review_planned = False
+        self._requests: dict[WaitingRequest, None] = {}
+        self._review_timer: Timer | None = None
+        self._review_scheduled = False
         self._late_served: deque[float] = deque()
-        self._busy_since = 0.0
-        self._busy_until = 0.0
+        self._overloaded_since = 0.0
+        self._overloaded_until = 0.0
 
-    def join(self, waiter: Waiter) -> None:
+    def add(self, request: WaitingRequest) -> None:
         """Look at a request again until it leaves."""
         now = self._loop.now()
-        if now - self._busy_until > _CALM_SECONDS:
-            self._busy_since = now
-        self._busy_until = now
-        self._waiters[waiter] = None
-        if self._tick is None:
-            self._plan_tick()
-
-    def leave(self, waiter: Waiter, *, served: bool) -> None:
+        if now - self._overloaded_until > _OVERLOAD_RESET_SECONDS:
+            self._overloaded_since = now
+        self._overloaded_until = now
+        self._requests[request] = None
+        if self._review_timer is None:
+            self._start_review_timer()
+
+    def remove(self, request: WaitingRequest, *, served: bool) -> None:
         """Look at a request no more."""
-        self._waiters.pop(waiter, None)
+        self._requests.pop(request, None)
         now = self._loop.now()
-        if served and now > waiter.times.timely_until:
+        if served and now > request.times.timely_until:
             self._late_served.append(now)
 
-    def keeps_late(self, waiter: Waiter) -> bool:
+    def admits_late(self, request: WaitingRequest) -> bool:
         """Return whether a request that will be late has a chance that is worth its wait.
 
         Late requests get the places that timely ones leave. When there were none of late, the
         caller is better told at once to come back.
         """
         now = self._loop.now()
-        while self._late_served and self._late_served[0] < now - _LATE_SPAN_SECONDS:
+        while self._late_served and self._late_served[0] < now - _LATE_WINDOW_SECONDS:
             self._late_served.popleft()
         ahead = sum(
-            1 for each in self._waiters if each is not waiter and each.times.timely_until < now
+            1 for each in self._requests if each is not request and each.times.timely_until < now
         )
         return ahead < len(self._late_served) + _LATE_PROBES
 
-    def retry_seconds(self) -> float:
+    def retry_after_seconds(self) -> float:
         """Return when a refused caller shall come back: an overload lasts as long again."""
-        lasted = self._loop.now() - self._busy_since if self._waiters else 0.0
-        bounded = min(_MOST_RETRY_SECONDS, max(_LEAST_RETRY_SECONDS, lasted))
+        lasted = self._loop.now() - self._overloaded_since if self._requests else 0.0
+        bounded = min(_MAX_RETRY_AFTER_SECONDS, max(_MIN_RETRY_AFTER_SECONDS, lasted))
         return self._jitter(bounded)
 
-    def place_freed(self) -> None:
+    def schedule_review(self) -> None:
         """Look at the line as soon as the present event is handled."""
-        if self._waiters and not self._review_planned:
-            self._review_planned = True
+        if self._requests and not self._review_scheduled:
+            self._review_scheduled = True
             self._loop.call_later(0.0, self._review)
 
-    def _plan_tick(self) -> None:
-        self._tick = self._loop.call_later(self._jitter(_REVIEW_SECONDS), self._ticked)
+    def _start_review_timer(self) -> None:
+        self._review_timer = self._loop.call_later(
+            self._jitter(_REVIEW_INTERVAL_SECONDS), self._review_timer_expired
+        )
 
-    def _ticked(self) -> None:
-        self._tick = None
+    def _review_timer_expired(self) -> None:
+        self._review_timer = None
         self._review()
-        if self._waiters:
-            self._plan_tick()
+        if self._requests:
+            self._start_review_timer()
 
     def _review(self) -> None:
-        self._review_planned = False
+        self._review_scheduled = False
         now = self._loop.now()
-        if self._waiters:
-            self._busy_until = now
+        if self._requests:
+            self._overloaded_until = now
 
-        def rank(waiter: Waiter) -> tuple[int, bool, float]:
-            waited = now - waiter.times.arrived
-            return waiter.priority, now > waiter.times.timely_until, waiter.times.work - waited
+        def sort_key(request: WaitingRequest) -> tuple[int, bool, float]:
+            waited_seconds = now - request.times.arrived
+            return (
+                request.priority,
+                now > request.times.timely_until,
+                request.times.work - waited_seconds,
+            )
 
         full: set[str] = set()
-        for waiter in sorted(self._waiters, key=rank):
-            if waiter not in self._waiters:
+        for request in sorted(self._requests, key=sort_key):
+            if request not in self._requests:
                 continue
             # Those behind one that finds no place would find none either: a look costs 0.2 ms.
-            if waiter.service in full and now < waiter.times.due:
+            if request.service in full and now < request.times.due:
                 continue
-            if not waiter.look_again():
-                full.add(waiter.service)
+            if not request.retry_placement():
+                full.add(request.service)
