--- a/src/brassdrum/bench/load/play.py
+++ b/src/brassdrum/bench/load/play.py
@@ -21,8 +21,8 @@
     RouteTarget,
 )
 from brassdrum.gateway.placing.policies import Policy
+from brassdrum.gateway.request.caller_timeouts import caller_stall_timeout
 from brassdrum.gateway.request.exchange import Exchange
-from brassdrum.gateway.request.patience import silence_patience
 
 __all__ = ["ENGINE", "LoadResult", "play"]
 
@@ -221,7 +221,7 @@
 
     def _watch(self) -> None:
         tries = self._tries
-        patience = silence_patience(self._route)
+        patience = caller_stall_timeout(self._route)
 
         def look() -> None:
             if self.over or self._away or tries != self._tries:
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -46,10 +46,10 @@
 from brassdrum.gateway.placing.reservations import Reservations
 from brassdrum.gateway.request.admission import Refusal, admit
 from brassdrum.gateway.request.attempt import Attempt
+from brassdrum.gateway.request.caller_timeouts import max_retry_after
 from brassdrum.gateway.request.exchange import Exchange
 from brassdrum.gateway.request.held_requests import HeldRequest, HeldRequestQueue, max_hold_seconds
 from brassdrum.gateway.request.outcome import Outcome
-from brassdrum.gateway.request.patience import longest_retry
 from brassdrum.gateway.request.retry_budget import SharedRetryBudget
 from brassdrum.gateway.request.wait_queue import WaitQueue
 from brassdrum.gateway.stopping import PlannedStop, declared_duration
@@ -262,7 +262,7 @@
     def _refuse_early(self, early: HeldRequest, detail: str) -> None:
         """Ask a caller to come back as late as it does: nobody knows when the store is back."""
         left = early.request.patience - (self.loop.now() - early.arrived)
-        seconds = _LEAVING_RETRY_SECONDS if self.closing() else longest_retry(left)
+        seconds = _LEAVING_RETRY_SECONDS if self.closing() else max_retry_after(left)
         self._refuse(early.connection, Refusal(503, detail, seconds, early.request.id))
 
     def _flush_seconds(self) -> float:
--- a/src/brassdrum/gateway/request/patience.py
+++ b/src/brassdrum/gateway/request/caller_timeouts.py
@@ -9,48 +9,52 @@
 from brassdrum.gateway.placing.placement import FULL_WAIT_SHARE, Placement
 
 __all__ = [
-    "WaitTimes",
-    "caller_patience",
-    "longest_retry",
-    "retry_after",
-    "silence_patience",
+    "WaitDeadlines",
+    "caller_stall_timeout",
+    "caller_timeout",
+    "max_retry_after",
+    "retry_after_header",
 ]
 
 # Callers give a stream up when it is silent for the longest of these: the platform's own rule.
-_LEAST_SECONDS = 2.0
-_OBJECTIVES = 4.0
-_PAUSES = 8.0
+_MIN_STALL_TIMEOUT_SECONDS = 2.0
+_STALL_OBJECTIVES = 4.0
+_STALL_PAUSES = 8.0
 # A waiting request counts as timely while this many times its prediction is left: at nine in ten
 # the first event comes within 1.9 to 2.2 times, at half of them within 1.4.
-_PREDICTION_MARGIN = 2.0
+_PREDICTION_FACTOR = 2.0
 # A refusal names at most this part of the time left, or the caller would not wait for it.
 _RETRY_AFTER_SHARE = 0.3
 
 
-def silence_patience(route: Route) -> float:
+def caller_stall_timeout(route: Route) -> float:
     """Return the seconds of silence after which a caller gives a stream up."""
-    return max(_LEAST_SECONDS, _OBJECTIVES * route.objective, _PAUSES * route.longest_pause)
+    return max(
+        _MIN_STALL_TIMEOUT_SECONDS,
+        _STALL_OBJECTIVES * route.objective,
+        _STALL_PAUSES * route.longest_pause,
+    )
 
 
-def caller_patience(route: Route, request: DeclaredRequest) -> float:
+def caller_timeout(route: Route, request: DeclaredRequest) -> float:
     """Return the seconds after which a caller without any event of its answer gives up."""
     allowed = min(request.patience, route.timeout)
-    return min(allowed, silence_patience(route)) if route.streams else allowed
+    return min(allowed, caller_stall_timeout(route)) if route.streams else allowed
 
 
-def longest_retry(left: float) -> float:
+def max_retry_after(left: float) -> float:
     """Return after how many seconds a caller comes back at the latest."""
     return _RETRY_AFTER_SHARE * max(0.0, left)
 
 
-def retry_after(wanted: float, left: float) -> Headers:
+def retry_after_header(seconds_wanted: float, left: float) -> Headers:
     """Return the header that tells a caller when to come back; ``left`` is its time, in seconds."""
-    seconds = min(wanted, longest_retry(left))
+    seconds = min(seconds_wanted, max_retry_after(left))
     return [(b"Retry-After", b"%.2f" % max(0.01, math.floor(seconds * 100) / 100))]
 
 
 @dataclass(slots=True)
-class WaitTimes:
+class WaitDeadlines:
     """Hold when a waiting request becomes late and when it must be decided; seconds.
 
     ``work`` is the reading that it asks for. Until a first look at engines both moments are those
@@ -59,18 +63,20 @@
 
     arrived: float
     objective: float
-    patience: float
-    work: float = 0.0
+    caller_timeout: float
+    prefill_seconds: float = 0.0
     timely_until: float = 0.0
-    due: float = 0.0
+    decide_by: float = 0.0
 
     def __post_init__(self) -> None:
-        self.timely_until = self.due = self.arrived + self.objective
+        self.timely_until = self.decide_by = self.arrived + self.objective
 
-    def expect(self, placement: Placement, now: float) -> None:
+    def update(self, placement: Placement, now: float) -> None:
         """Take what is predicted for the best endpoints now."""
-        to_come = placement.first_event_ms / 1000 * _PREDICTION_MARGIN
-        self.work = placement.work_ms / 1000
-        self.timely_until = self.due = self.arrived + self.objective - to_come
+        first_event_margin = placement.first_event_ms / 1000 * _PREDICTION_FACTOR
+        self.prefill_seconds = placement.work_ms / 1000
+        self.timely_until = self.decide_by = self.arrived + self.objective - first_event_margin
         if now > self.timely_until:
-            self.due = self.arrived + self.patience * FULL_WAIT_SHARE - to_come
+            self.decide_by = (
+                self.arrived + self.caller_timeout * FULL_WAIT_SHARE - first_event_margin
+            )
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -19,15 +19,15 @@
 from brassdrum.gateway.net.upstream import Break, OutgoingRequest
 from brassdrum.gateway.placing.placement import Need, Placement, Verdict, judge
 from brassdrum.gateway.request.attempt import Attempt, helper_name
+from brassdrum.gateway.request.caller_timeouts import (
+    WaitDeadlines,
+    caller_timeout,
+    retry_after_header,
+)
 from brassdrum.gateway.request.events import EventOrderError, EventReader
 from brassdrum.gateway.request.exchange_context import ExchangeContext
 from brassdrum.gateway.request.outcome import Outcome, Report, Timing
-from brassdrum.gateway.request.patience import (
-    WaitTimes,
-    caller_patience,
-    retry_after,
-)
-from brassdrum.gateway.request.silence_watch import SilenceWatch
+from brassdrum.gateway.request.stall_watchdog import StallWatchdog
 from brassdrum.outcomes.fingerprint import fingerprint
 from brassdrum.outcomes.quarantine import Standing
 from brassdrum.telemetry import log_events
@@ -83,15 +83,15 @@
         self._connection = connection
         self._body = body
         self._deadline = self.arrived + min(request.patience, route.timeout)
-        patience = caller_patience(route, request)
-        self.times = WaitTimes(self.arrived, route.objective, patience)
+        patience = caller_timeout(route, request)
+        self.times = WaitDeadlines(self.arrived, route.objective, patience)
         self._unsent = 0
         self._may_have_run = False
         self._began = False
         self._done = False
         self._attempt: Attempt | None = None
         self._reader = EventReader(request.resume_after)
-        self._silence = SilenceWatch(context.loop, self)
+        self._watchdog = StallWatchdog(context.loop, self)
         self._held: Timer | None = None
         self._waits = False
         self._waits_for_place = False
@@ -121,7 +121,7 @@
             self.route.objective * 1000,
             round(pause * 1000) if self.route.streams else None,
             (self._context.loop.now() - self.arrived) * 1000,
-            self.times.patience * 1000,
+            self.times.caller_timeout * 1000,
         )
 
     def start(self) -> None:
@@ -222,7 +222,7 @@
 
     def _send(self) -> None:
         """Choose endpoints and send; nothing else of this request is under way then."""
-        self._silence.stop()
+        self._watchdog.stop()
         standing = self._context.guard.standing(self.content, self.tried)
         if standing is Standing.QUARANTINED:
             self._stop_waiting()
@@ -265,7 +265,7 @@
         """Wait for a better placement; return False where that is in vain."""
         now = self._context.loop.now()
         self._waits_for_place = placement.full
-        self.times.expect(placement, now)
+        self.times.update(placement, now)
         late = now > self.times.timely_until
         if late and placement.full and not self._context.wait_queue.admits_late(self):
             return False
@@ -406,20 +406,20 @@
 
     def restart_stall_timer(self, placement: Placement | None) -> None:
         """Give an endpoint up when it is silent for longer than its work explains."""
-        self._silence.stop()
+        self._watchdog.stop()
         if self._more_sends():
-            self._silence.begin(None if placement is None else placement.first_event_ms)
+            self._watchdog.start(None if placement is None else placement.first_event_ms)
 
-    def may_replace(self) -> bool:
+    def can_replace_attempt(self) -> bool:
         """Return whether the present attempt may be given up for another one."""
         return self._attempt is not None and self._can_replace(self._attempt)
 
-    def reading_seconds(self) -> float:
+    def queued_prefill_seconds(self) -> float:
         """Return how long the present attempt's endpoint has to read."""
         assert self._attempt is not None
         return self._context.table.total(self._attempt.endpoint).reading_ms / 1000
 
-    def fell_silent(self, *, certain: bool) -> None:
+    def endpoint_stalled(self, *, certain: bool) -> None:
         """Send the request elsewhere when its endpoint is silent."""
         assert self._attempt is not None
         self._attempt.cancel()
@@ -464,7 +464,7 @@
             return
         if not self._may_have_run:
             left = self.request.patience - (self._context.loop.now() - self.arrived)
-            self._refuse(detail, retry_after(come_back, left))
+            self._refuse(detail, retry_after_header(come_back, left))
             return
         status = 504 if self.time_left <= 0 else 502
         self._end(Outcome.FAILED, status, detail)
@@ -477,7 +477,9 @@
             self._fail(detail)
             return
         # The whole time, although callers seldom wait that long: to come sooner would be in vain.
-        self._refuse(detail, retry_after(self._context.guard.seconds_left(self.content), math.inf))
+        self._refuse(
+            detail, retry_after_header(self._context.guard.seconds_left(self.content), math.inf)
+        )
 
     def _hold_back(self, seconds: float) -> None:
         self._stop_waiting()
@@ -502,7 +504,7 @@
             return
         self._done = True
         self._deadline_timer.cancel()
-        self._silence.stop()
+        self._watchdog.stop()
         self._stop_waiting()
         if self._held is not None:
             self._held.cancel()
--- a/src/brassdrum/gateway/request/silence.py
+++ b/src/brassdrum/gateway/request/stall_timeouts.py
@@ -4,7 +4,7 @@
 
 from brassdrum.gateway.model import Route, RouteKind
 
-__all__ = ["allowed_silence", "explained_silence", "work_explains"]
+__all__ = ["prefill_explains_stall", "stall_extension", "stall_timeout"]
 
 # A stream is given up at an endpoint when its first event is later than its objective, this
 # slack and this many times the prediction; sending it again reads the whole prompt again.
@@ -16,31 +16,33 @@
 _PAUSE_SLACK_SECONDS = 0.8
 # Work of this length explains a silence that is longer than allowed. Prompts are read in passes
 # with streams, which takes up to a third longer than reading alone.
-_EXPLAINED_SECONDS = 0.3
-_READING_FACTOR = 1.3
+_MIN_EXPLAINING_PREFILL_SECONDS = 0.3
+_PREFILL_FACTOR = 1.3
 # The part of the caller's patience that known work may use up: the rest is for another endpoint.
-_PATIENCE_SHARE = 0.8
-_LEAST_MORE_SECONDS = 0.05
+_CALLER_TIMEOUT_SHARE = 0.8
+_MIN_EXTENSION_SECONDS = 0.05
 
 
-def work_explains(reading: float) -> bool:
+def prefill_explains_stall(prefill_seconds: float) -> bool:
     """Return whether an endpoint with seconds of reading may be silent and sound."""
-    return reading >= _EXPLAINED_SECONDS
+    return prefill_seconds >= _MIN_EXPLAINING_PREFILL_SECONDS
 
 
-def explained_silence(silent: float, patience: float, reading: float) -> float | None:
+def stall_extension(elapsed: float, caller_timeout: float, prefill_seconds: float) -> float | None:
     """Return for how many more seconds known work explains an endpoint's silence, or None.
 
     ``reading`` is what the endpoint has to read, ``silent`` how long it was silent so far, both in
     seconds. Prompts that are sent again are read again: on a busy fleet that makes others silent.
     """
-    if not work_explains(reading):
+    if not prefill_explains_stall(prefill_seconds):
         return None
-    more = min(reading * _READING_FACTOR, patience * _PATIENCE_SHARE - silent)
-    return more if more > _LEAST_MORE_SECONDS else None
+    extension = min(
+        prefill_seconds * _PREFILL_FACTOR, caller_timeout * _CALLER_TIMEOUT_SHARE - elapsed
+    )
+    return extension if extension > _MIN_EXTENSION_SECONDS else None
 
 
-def allowed_silence(route: Route, predicted_ms: float | None) -> float:
+def stall_timeout(route: Route, predicted_ms: float | None) -> float:
     """Return seconds; ``predicted_ms`` is the time to the first event, None once that came."""
     if route.kind is RouteKind.IDEMPOTENT:
         return route.objective
--- /dev/null
+++ b/src/brassdrum/gateway/request/stall_watchdog.py
@@ -0,0 +1,67 @@
+"""Watch one attempt for a silence that the endpoint's work does not explain."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from brassdrum.gateway.model import Route
+from brassdrum.gateway.net.loop import Timer, Timers
+from brassdrum.gateway.request.caller_timeouts import caller_stall_timeout
+from brassdrum.gateway.request.stall_timeouts import (
+    prefill_explains_stall,
+    stall_extension,
+    stall_timeout,
+)
+
+__all__ = ["StallWatchdog", "StallWatchdogOwner"]
+
+
+class StallWatchdogOwner(Protocol):
+    """Say what is known of the attempt that is watched."""
+
+    route: Route
+
+    def can_replace_attempt(self) -> bool:
+        """Return whether the attempt may be given up for another one."""
+
+    def queued_prefill_seconds(self) -> float:
+        """Return how long its endpoint has to read."""
+
+    def endpoint_stalled(self, *, certain: bool) -> None:
+        """Learn that the endpoint is silent; ``certain`` where nothing explains it."""
+
+
+class StallWatchdog:
+    """Hold the one timer of a request that would send it again."""
+
+    def __init__(self, loop: Timers, owner: StallWatchdogOwner) -> None:
+        self._loop = loop
+        self._owner = owner
+        self._started_at = loop.now()
+        self._timer: Timer | None = None
+
+    def start(self, predicted_ms: float | None) -> None:
+        """Wait from now on; ``predicted_ms`` is the time to the first event, None after it."""
+        self._started_at = self._loop.now()
+        seconds = stall_timeout(self._owner.route, predicted_ms)
+        self._timer = self._loop.call_later(seconds, self._expired)
+
+    def stop(self) -> None:
+        """Cancel what would send again: a second attempt beside the first, or after the end."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def _expired(self) -> None:
+        owner = self._owner
+        if not owner.can_replace_attempt():
+            return
+        prefill_seconds = owner.queued_prefill_seconds()
+        if owner.route.streams:
+            elapsed = self._loop.now() - self._started_at
+            extension = stall_extension(elapsed, caller_stall_timeout(owner.route), prefill_seconds)
+            if extension is not None:
+                self._timer = self._loop.call_later(extension, self._expired)
+                return
+        owner.endpoint_stalled(
+            certain=owner.route.streams and not prefill_explains_stall(prefill_seconds)
+        )
--- a/src/brassdrum/gateway/request/wait_queue.py
+++ b/src/brassdrum/gateway/request/wait_queue.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from brassdrum.gateway.net.loop import EventLoop, Timer
-from brassdrum.gateway.request.patience import WaitTimes
+from brassdrum.gateway.request.caller_timeouts import WaitDeadlines
 
 __all__ = ["WaitingRequest", "WaitQueue"]
 
@@ -28,7 +28,7 @@
     """Wait for an endpoint."""
 
     service: str
-    times: WaitTimes
+    times: WaitDeadlines
 
     @property
     def priority(self) -> int:
@@ -124,7 +124,7 @@
             return (
                 request.priority,
                 now > request.times.timely_until,
-                request.times.work - waited_seconds,
+                request.times.prefill_seconds - waited_seconds,
             )
 
         full: set[str] = set()
@@ -132,7 +132,7 @@
             if request not in self._requests:
                 continue
             # Those behind one that finds no place would find none either: a look costs 0.2 ms.
-            if request.service in full and now < request.times.due:
+            if request.service in full and now < request.times.decide_by:
                 continue
             if not request.retry_placement():
                 full.add(request.service)
