--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -94,7 +94,7 @@
 
     def place(self, exchange, need):
         """Place on the next engine that was not tried."""
-        entry = next(each for each in self.entries if each.id not in exchange.tried)
+        entry = next(each for each in self.entries if each.id not in exchange.tried_endpoints)
         first_ms = _LATE_MS if self.harm else _TIMELY_MS
         return Placement(entry, (), (), first_ms, "test", harm=self.harm, best_ms=10.0)
 
--- a/features/steps/gateway_adapter_steps.py
+++ b/features/steps/gateway_adapter_steps.py
@@ -18,7 +18,7 @@
     RouteKind,
     RouteTarget,
 )
-from brassdrum.gateway.request.events import EventOrderError, EventReader
+from brassdrum.gateway.request.event_stream import EventOrderError, EventStreamReader
 from brassdrum.platform.documents import decode_configuration, decode_endpoint
 from brassdrum.platform.settings import read_settings
 from brassdrum.platform.store import PlatformStore
@@ -51,7 +51,7 @@
 def step_cut(context):
     text = event(1) + event(2) + event(3)
     for size in range(1, len(text)):
-        reader = EventReader(None)
+        reader = EventStreamReader(None)
         pieces = [text[start : start + size] for start in range(0, len(text), size)]
         passed = [reader.feed(piece) for piece in pieces]
         assert b"".join(passed) == text
@@ -62,7 +62,7 @@
 @then("a gap, a repeat and a jump back are refused")
 def step_order(context):
     for numbers in ((1, 3), (1, 1), (2, 1)):
-        reader = EventReader(None)
+        reader = EventStreamReader(None)
         try:
             reader.feed(b"".join(event(number) for number in numbers))
         except EventOrderError:
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -239,9 +239,9 @@
 @when("{count:d} requests and as many repeats as allowed are counted among {daemons:d} daemons")
 def step_repeats(context, count, daemons):
     for number in range(count):
-        context.budget.request(number / count)
+        context.budget.record_request(number / count)
     context.allowed = 0
-    while context.budget.spend(1.0, daemons):
+    while context.budget.try_consume(1.0, daemons):
         context.allowed += 1
 
 
@@ -252,7 +252,7 @@
 
 @then("after {seconds:d} seconds only the slack is left")
 def step_slack(context, seconds):
-    assert context.budget.left(1.0 + seconds, 3) == 30 / 3 * 0.7
+    assert context.budget.remaining(1.0 + seconds, 3) == 30 / 3 * 0.7
 
 
 @when("an endpoint fails once among successes")
--- a/src/brassdrum/bench/load/daemon.py
+++ b/src/brassdrum/bench/load/daemon.py
@@ -239,9 +239,11 @@
         """Return where to send a request now."""
         now = self.loop.now()
         entries = [
-            entry for entry in self.knowledge.usable(SERVICE) if entry.id not in exchange.tried
+            entry
+            for entry in self.knowledge.usable(SERVICE)
+            if entry.id not in exchange.tried_endpoints
         ]
-        late = now > exchange.times.timely_until
+        late = now > exchange.wait_deadlines.timely_until
         return self._chooser.choose(
             self.fleet.policy, need, entries, lambda _: False, self.fleet.model, now, late=late
         )
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -236,7 +236,7 @@
         exchange = Exchange(self, connection, request, body, route, verdict.organisation, arrived)
         exchange.service = service
         self._exchanges.add(exchange)
-        self._budget(exchange.service).request(self.loop.now())
+        self._budget(exchange.service).record_request(self.loop.now())
         exchange.start()
         return exchange
 
@@ -292,18 +292,18 @@
         """Return where to send a request now."""
         now = self.loop.now()
         usable = self.guard.choices(
-            self.guard.standing(exchange.content, exchange.tried),
+            self.guard.standing(exchange.content_fingerprint, exchange.tried_endpoints),
             self.knowledge.usable(exchange.service),
             self.beliefs.suspect,
         )
         return self._chooser.choose(
             self._policy,
             need,
-            [entry for entry in usable if entry.id not in exchange.tried],
+            [entry for entry in usable if entry.id not in exchange.tried_endpoints],
             self.beliefs.suspect,
             self._engine(exchange.service),
             now,
-            late=now > exchange.times.timely_until,
+            late=now > exchange.wait_deadlines.timely_until,
         )
 
     def may_wait(self, exchange: Exchange) -> bool:
@@ -321,12 +321,12 @@
     def consume_retry(self, service: str) -> bool:
         """Take one repeated send from the shared budget, or return False."""
         assert self._peers is not None
-        return self._budget(service).spend(self.loop.now(), self._peers.live)
+        return self._budget(service).try_consume(self.loop.now(), self._peers.live)
 
     def retries_left(self, service: str) -> float:
         """Return how many repeats this daemon may still send."""
         assert self._peers is not None
-        return self._budget(service).left(self.loop.now(), self._peers.live)
+        return self._budget(service).remaining(self.loop.now(), self._peers.live)
 
     def response_interrupted(self, attempt: Attempt, lost: LostRequest) -> None:
         """Find out whether the endpoint has ended, unless it was about to leave."""
@@ -349,31 +349,33 @@
     ) -> None:
         """Log and count the end of a request."""
         self._exchanges.discard(exchange)
-        report = exchange.report()
+        report = exchange.latency_report()
         self.metrics.ended(exchange, outcome, report)
         values = {
             "request": exchange.request.id,
             "route": exchange.route.name,
             "status": status,
-            "ms": report.ms,
-            "first_ms": report.first_ms,
+            "ms": report.total_ms,
+            "first_ms": report.first_event_ms,
             "prompt": exchange.request.prompt_tokens,
-            "sends": exchange.sends,
+            "sends": exchange.send_count,
             "version": self.knowledge.version,
         }
         if outcome is not Outcome.SERVED:
             log_events.FAILED.write(
                 _logger,
-                content=exchange.content,
+                content=exchange.content_fingerprint,
                 outcome=outcome.name.lower(),
                 detail=detail,
-                story=exchange.story,
+                story=exchange.decisions,
                 **values,
             )
         elif report.late:
-            log_events.LATE.write(_logger, pause_ms=report.pause_ms, story=exchange.story, **values)
+            log_events.LATE.write(
+                _logger, pause_ms=report.longest_pause_ms, story=exchange.decisions, **values
+            )
         else:
-            log_events.SERVED.write(_logger, pause_ms=report.pause_ms, **values)
+            log_events.SERVED.write(_logger, pause_ms=report.longest_pause_ms, **values)
 
     # Inner wiring.
 
@@ -474,7 +476,7 @@
         self.metrics.refused(refusal.status)
         log_events.REFUSED.write(
             _logger,
-            request=refusal.request,
+            request=refusal.request_id,
             status=refusal.status,
             detail=refusal.detail,
             version=self.knowledge.version,
@@ -509,7 +511,7 @@
             return
         if now >= self._stop.ends_at:
             for exchange in list(self._exchanges):
-                exchange.break_off("the grace time of the planned stop is over")
+                exchange.abort("the grace time of the planned stop is over")
             self._finish()
             return
         self.loop.call_later(_STOP_CHECK_SECONDS, self._check_stop)
--- a/src/brassdrum/gateway/measures.py
+++ b/src/brassdrum/gateway/measures.py
@@ -19,7 +19,7 @@
 from brassdrum.gateway.net.upstream import EndpointPool
 from brassdrum.gateway.peering.peers import Peers
 from brassdrum.gateway.request.exchange import Exchange
-from brassdrum.gateway.request.outcome import Outcome, Report
+from brassdrum.gateway.request.outcome import LatencyReport, Outcome
 
 __all__ = ["GatewayMetrics", "MetricsSources"]
 
@@ -87,16 +87,16 @@
             "brassdrum_gateway_answer_time", unit="s", description="Time to the whole answer."
         )
 
-    def ended(self, exchange: Exchange, outcome: Outcome, report: Report) -> None:
+    def ended(self, exchange: Exchange, outcome: Outcome, report: LatencyReport) -> None:
         """Count a request that got its final answer."""
         band = {"band": _band(exchange.request.prompt_tokens)}
         named = {**band, "outcome": outcome.name.lower(), "late": str(report.late).lower()}
         self._requests.add(1, named)
-        self._sends.add(exchange.sends, band)
-        self._whole.record(report.ms / 1000, band)
-        if report.first_ms is not None:
-            self._first.record(report.first_ms / 1000, band)
-            self._pause.record(report.pause_ms / 1000, band)
+        self._sends.add(exchange.send_count, band)
+        self._whole.record(report.total_ms / 1000, band)
+        if report.first_event_ms is not None:
+            self._first.record(report.first_event_ms / 1000, band)
+            self._pause.record(report.longest_pause_ms / 1000, band)
         if report.prediction_ratio is not None:
             self._prediction.record(report.prediction_ratio, band)
 
--- a/src/brassdrum/gateway/request/admission.py
+++ b/src/brassdrum/gateway/request/admission.py
@@ -8,14 +8,14 @@
 from brassdrum.gateway.following.knowledge import Knowledge
 from brassdrum.gateway.model import DeclaredRequest, Dialect, Organisation, RequestHead, Route
 
-__all__ = ["Admitted", "Refusal", "admit"]
+__all__ = ["AdmittedRequest", "Refusal", "admit"]
 
 # A daemon without configuration or endpoints asks callers to come back after this.
-_STARTING_RETRY_SECONDS = 0.3
+_STARTUP_RETRY_AFTER_SECONDS = 0.3
 
 
 @dataclass(frozen=True, slots=True)
-class Admitted:
+class AdmittedRequest:
     """Hold a request whose route is known; ``organisation`` is None on anonymous routes."""
 
     request: DeclaredRequest
@@ -30,14 +30,14 @@
     status: int
     detail: str
     retry_after: float | None = None
-    request: str | None = None
+    request_id: str | None = None
 
 
-def admit(knowledge: Knowledge, dialect: Dialect, head: RequestHead) -> Admitted | Refusal:
+def admit(knowledge: Knowledge, dialect: Dialect, head: RequestHead) -> AdmittedRequest | Refusal:
     """Return the route and the organisation of a request, or why it is refused."""
     configuration = knowledge.configuration
     if configuration is None:
-        return Refusal(503, "no configuration yet", _STARTING_RETRY_SECONDS)
+        return Refusal(503, "no configuration yet", _STARTUP_RETRY_AFTER_SECONDS)
     try:
         request = dialect.read_request(head)
     except InvalidRequestError as error:
@@ -45,10 +45,10 @@
     path = request.target.split(b"?", 1)[0].decode("latin-1")
     route = knowledge.route(request.host, path)
     if route is None:
-        return Refusal(404, "no route", request=request.id)
+        return Refusal(404, "no route", request_id=request.id)
     if route.anonymous or not configuration.organisations:
-        return Admitted(request, route, None)
+        return AdmittedRequest(request, route, None)
     organisation = knowledge.organisation(request.key)
     if organisation is None:
-        return Refusal(401, "unknown key", request=request.id)
-    return Admitted(request, route, organisation)
+        return Refusal(401, "unknown key", request_id=request.id)
+    return AdmittedRequest(request, route, organisation)
--- a/src/brassdrum/gateway/request/events.py
+++ b/src/brassdrum/gateway/request/event_stream.py
@@ -4,40 +4,40 @@
 
 import re
 
-__all__ = ["EventOrderError", "EventReader"]
+__all__ = ["EventOrderError", "EventStreamReader"]
 
-_END = re.compile(rb"\r?\n\r?\n")
-_ID = re.compile(rb"^id:[ ]?(\d+)\s*$", re.MULTILINE)
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
+_EVENT_ID = re.compile(rb"^id:[ ]?(\d+)\s*$", re.MULTILINE)
 
 
 class EventOrderError(Exception):
     """Tell that an event is missing, repeated or belongs to another stream."""
 
 
-class EventReader:
+class EventStreamReader:
     """Return whole events; hold back a part of one until the rest comes."""
 
     def __init__(self, last_id: int | None) -> None:
         self.last_id = last_id
-        self._rest = b""
+        self._buffer = b""
 
     @property
-    def rest(self) -> bytes:
+    def incomplete(self) -> bytes:
         """Return the bytes after the last whole event."""
-        return self._rest
+        return self._buffer
 
     def feed(self, data: bytes) -> bytes:
         """Return the whole events as they came, or raise ``EventOrderError``."""
-        self._rest += data
+        self._buffer += data
         end = 0
-        for match in _END.finditer(self._rest):
-            self._check(self._rest[end : match.end()])
+        for match in _EVENT_END.finditer(self._buffer):
+            self._check_order(self._buffer[end : match.end()])
             end = match.end()
-        whole, self._rest = self._rest[:end], self._rest[end:]
-        return whole
+        complete, self._buffer = self._buffer[:end], self._buffer[end:]
+        return complete
 
-    def _check(self, event: bytes) -> None:
-        match = _ID.search(event)
+    def _check_order(self, event: bytes) -> None:
+        match = _EVENT_ID.search(event)
         if match is None:
             return
         number = int(match.group(1))
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -24,9 +24,9 @@
     caller_timeout,
     retry_after_header,
 )
-from brassdrum.gateway.request.events import EventOrderError, EventReader
+from brassdrum.gateway.request.event_stream import EventOrderError, EventStreamReader
 from brassdrum.gateway.request.exchange_context import ExchangeContext
-from brassdrum.gateway.request.outcome import Outcome, Report, Timing
+from brassdrum.gateway.request.outcome import LatencyReport, Outcome, ResponseTiming
 from brassdrum.gateway.request.stall_watchdog import StallWatchdog
 from brassdrum.outcomes.fingerprint import fingerprint
 from brassdrum.outcomes.quarantine import Standing
@@ -63,7 +63,7 @@
         organisation: Organisation | None,
         arrived: float,
     ) -> None:
-        self.content = fingerprint(
+        self.content_fingerprint = fingerprint(
             "" if organisation is None else organisation.name,
             request.method,
             request.host.encode(),
@@ -74,23 +74,23 @@
         self.route = route
         self.organisation = organisation
         self.arrived = arrived
-        self.timing = Timing(self.arrived)
+        self.timing = ResponseTiming(self.arrived)
         self.service = ""
-        self.tried: set[str] = set()
-        self.sends = 0
-        self.story: list[dict[str, object]] = []
+        self.tried_endpoints: set[str] = set()
+        self.send_count = 0
+        self.decisions: list[dict[str, object]] = []
         self._context = context
         self._connection = connection
         self._body = body
         self._deadline = self.arrived + min(request.patience, route.timeout)
         patience = caller_timeout(route, request)
-        self.times = WaitDeadlines(self.arrived, route.objective, patience)
+        self.wait_deadlines = WaitDeadlines(self.arrived, route.objective, patience)
         self._unsent = 0
         self._may_have_run = False
         self._began = False
         self._done = False
         self._attempt: Attempt | None = None
-        self._reader = EventReader(request.resume_after)
+        self._reader = EventStreamReader(request.resume_after)
         self._watchdog = StallWatchdog(context.loop, self)
         self._held: Timer | None = None
         self._waits = False
@@ -121,7 +121,7 @@
             self.route.objective * 1000,
             round(pause * 1000) if self.route.streams else None,
             (self._context.loop.now() - self.arrived) * 1000,
-            self.times.caller_timeout * 1000,
+            self.wait_deadlines.caller_timeout * 1000,
         )
 
     def start(self) -> None:
@@ -133,7 +133,7 @@
         self._stop_attempt()
         self._end(Outcome.CALLER_LEFT, 0, "the caller closed its connection")
 
-    def break_off(self, detail: str) -> None:
+    def abort(self, detail: str) -> None:
         """End a request that this daemon cannot finish; a stream can be resumed by its caller."""
         if self._done:
             return
@@ -192,7 +192,7 @@
             self._endpoint_refused(attempt, reply)
             return
         self._context.beliefs.endpoint_served(attempt.endpoint)
-        self._context.guard.served(self.content)
+        self._context.guard.served(self.content_fingerprint)
         if not self.route.streams:
             self._end(Outcome.SERVED, reply.status, "")
             self._connection.answer(reply.status, reply.headers, bytes(attempt.body))
@@ -200,8 +200,8 @@
         if not self._began:
             self._connection.begin(reply.status, reply.headers)
             self._began = True
-        if self._reader.rest:
-            self._connection.data(self._reader.rest)
+        if self._reader.incomplete:
+            self._connection.data(self._reader.incomplete)
         self._end(Outcome.SERVED, reply.status, "")
         self._connection.end()
 
@@ -210,27 +210,31 @@
         attempt.finish()
         if how is Break.NOT_SENT:
             self._context.beliefs.endpoint_failed(attempt.endpoint, certain=True, detail=detail)
-            self.sends -= 1
+            self.send_count -= 1
             self._unsent += 1
             self._retry_unrun(attempt, detail)
             return
         began = how is Break.ANSWER_CUT
         proven = began or not attempt.reused_connection
-        lost = LostRequest(self.request.id, self.content, began, proven, attempt.sent_at)
+        lost = LostRequest(
+            self.request.id, self.content_fingerprint, began, proven, attempt.sent_at
+        )
         self._context.response_interrupted(attempt, lost)
         self._attempt_lost(attempt, detail, certain=False)
 
     def _send(self) -> None:
         """Choose endpoints and send; nothing else of this request is under way then."""
         self._watchdog.stop()
-        standing = self._context.guard.standing(self.content, self.tried)
+        standing = self._context.guard.standing(self.content_fingerprint, self.tried_endpoints)
         if standing is Standing.QUARANTINED:
             self._stop_waiting()
             self._keep_from_endpoints()
             return
         if standing is Standing.UNDECIDED:
             # Other daemons may know who else was at the ends, or have just sent the same content.
-            self._hold_back(self._context.guard.settles_in(self.content, self.tried))
+            self._hold_back(
+                self._context.guard.settles_in(self.content_fingerprint, self.tried_endpoints)
+            )
             return
         need = self.need()
         placement = self._context.place(self, need)
@@ -248,11 +252,11 @@
             detail = "every place is taken" if placement.full else "others would lose more by it"
             self._fail(detail, self._context.wait_queue.retry_after_seconds())
             return
-        self.sends += 1
-        self.tried.add(placement.entry.id)
+        self.send_count += 1
+        self.tried_endpoints.add(placement.entry.id)
         self._context.guard.sent(standing, placement.entry.id)
         self._note_placed(placement, standing)
-        self.timing.expect(self._context.loop.now(), placement.first_event_ms)
+        self.timing.record_send(self._context.loop.now(), placement.first_event_ms)
         self._attempt = Attempt(self._context, self, placement)
         self._attempt.start()
 
@@ -265,8 +269,8 @@
         """Wait for a better placement; return False where that is in vain."""
         now = self._context.loop.now()
         self._waits_for_place = placement.full
-        self.times.update(placement, now)
-        late = now > self.times.timely_until
+        self.wait_deadlines.update(placement, now)
+        late = now > self.wait_deadlines.timely_until
         if late and placement.full and not self._context.wait_queue.admits_late(self):
             return False
         if self._waits:
@@ -298,7 +302,7 @@
             harm=round(placement.harm),
             late=round(placement.late),
             reason=placement.reason,
-            send=self.sends,
+            send=self.send_count,
             version=self._context.knowledge.version,
             list_age=None if age is None else round(age, 3),
             standing=standing.name.lower(),
@@ -306,21 +310,23 @@
 
     def _decided(self, event: LogEvent, **values: object) -> None:
         """Log a decision, and keep it for the line that explains a failure."""
-        self._context.log_decision(event, request=self.request.id, content=self.content, **values)
-        if len(self.story) < _LONGEST_STORY:
+        self._context.log_decision(
+            event, request=self.request.id, content=self.content_fingerprint, **values
+        )
+        if len(self.decisions) < _LONGEST_STORY:
             at = round((self._context.loop.now() - self.arrived) * 1000)
-            self.story.append({"at_ms": at, "event": event.name, **values})
+            self.decisions.append({"at_ms": at, "event": event.name, **values})
 
-    def report(self) -> Report:
+    def latency_report(self) -> LatencyReport:
         """Return how long the request took."""
         return self.timing.report(self.route, self._context.loop.now())
 
     def reservation_refused(self, attempt: Attempt) -> None:
         """Choose other engines for a prompt that is stored in parts; nothing was sent yet."""
         attempt.finish()
-        self.sends -= 1
+        self.send_count -= 1
         self._unsent += 1
-        self.tried.discard(attempt.endpoint)
+        self.tried_endpoints.discard(attempt.endpoint)
         self._retry_unrun(attempt, "an endpoint has no memory for its part")
 
     def build_request(self, attempt: Attempt, placement: Placement) -> OutgoingRequest:
@@ -340,7 +346,7 @@
         return OutgoingRequest(self.request.method, self.request.target, headers, self._body)
 
     def _pass_on(self, attempt: Attempt, reply: Reply, events: bytes) -> None:
-        self.timing.event(self._context.loop.now())
+        self.timing.record_event(self._context.loop.now())
         attempt.first_event_received()
         if not self._began:
             self._began = True
@@ -371,8 +377,8 @@
     def _retry_unrun(self, attempt: Attempt, detail: str) -> None:
         attempt.finish()
         free = self._unsent <= _MOST_UNSENT and self.time_left > _REPEAT_LEAST_SECONDS
-        allowed = self.sends < self.route.max_attempts and free
-        if allowed and (self.sends == 0 or self._context.consume_retry(self.service)):
+        allowed = self.send_count < self.route.max_attempts and free
+        if allowed and (self.send_count == 0 or self._context.consume_retry(self.service)):
             self._again(detail)
             return
         self._fail(detail)
@@ -387,7 +393,7 @@
         self._fail(detail)
 
     def _may_send_again(self) -> bool:
-        if self.sends >= self.route.max_attempts or self.time_left < _REPEAT_LEAST_SECONDS:
+        if self.send_count >= self.route.max_attempts or self.time_left < _REPEAT_LEAST_SECONDS:
             return False
         return self._context.consume_retry(self.service)
 
@@ -397,11 +403,11 @@
             log_events.SENT_AGAIN,
             endpoint=self._attempt.endpoint,
             reason=detail,
-            sends=self.sends,
+            sends=self.send_count,
             after_event=self._reader.last_id,
             budget=round(self._context.retries_left(self.service), 1),
         )
-        self._reader = EventReader(self._reader.last_id)
+        self._reader = EventStreamReader(self._reader.last_id)
         self._send()
 
     def restart_stall_timer(self, placement: Placement | None) -> None:
@@ -433,7 +439,7 @@
         self._attempt_lost(attempt, "the endpoint gives no sign of life", certain=True)
 
     def _more_sends(self) -> bool:
-        return self.route.repeatable and self.sends < self.route.max_attempts
+        return self.route.repeatable and self.send_count < self.route.max_attempts
 
     def _can_replace(self, attempt: Attempt) -> bool:
         """Return whether a silent attempt may be given up for another one.
@@ -478,7 +484,10 @@
             return
         # The whole time, although callers seldom wait that long: to come sooner would be in vain.
         self._refuse(
-            detail, retry_after_header(self._context.guard.seconds_left(self.content), math.inf)
+            detail,
+            retry_after_header(
+                self._context.guard.seconds_left(self.content_fingerprint), math.inf
+            ),
         )
 
     def _hold_back(self, seconds: float) -> None:
--- a/src/brassdrum/gateway/request/outcome.py
+++ b/src/brassdrum/gateway/request/outcome.py
@@ -7,7 +7,7 @@
 
 from brassdrum.gateway.model import Route
 
-__all__ = ["Outcome", "Report", "Timing"]
+__all__ = ["LatencyReport", "Outcome", "ResponseTiming"]
 
 _MS = 1000.0
 
@@ -23,21 +23,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class LatencyReport:
     """Hold how long a request took, in ms, and whether that is over its route's objective.
 
     ``prediction_ratio`` is the first event's time over what was predicted at its last send.
     """
 
-    ms: int
-    first_ms: int | None
-    pause_ms: int
+    total_ms: int
+    first_event_ms: int | None
+    longest_pause_ms: int
     late: bool
     prediction_ratio: float | None = None
 
 
 @dataclass(slots=True)
-class Timing:
+class ResponseTiming:
     """Note when the events of one answer reach its caller; times in seconds."""
 
     arrived: float
@@ -46,30 +46,34 @@
     prediction_ratio: float | None = None
     _last_event_at: float = 0.0
     _sent_at: float = 0.0
-    _predicted: float = 0.0
+    _predicted_seconds: float = 0.0
 
-    def expect(self, now: float, predicted_ms: float) -> None:
+    def record_send(self, now: float, predicted_ms: float) -> None:
         """Note when the request is sent and what is predicted of its first event."""
         self._sent_at = now
-        self._predicted = predicted_ms / _MS
+        self._predicted_seconds = predicted_ms / _MS
 
-    def event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Note an event."""
         if self.first_event_at is None:
             self.first_event_at = now
-            if self._predicted:
-                self.prediction_ratio = (now - self._sent_at) / self._predicted
+            if self._predicted_seconds:
+                self.prediction_ratio = (now - self._sent_at) / self._predicted_seconds
         else:
             self.longest_pause = max(self.longest_pause, now - self._last_event_at)
         self._last_event_at = now
 
-    def report(self, route: Route, now: float) -> Report:
+    def report(self, route: Route, now: float) -> LatencyReport:
         """Return how long the request took."""
-        first = self.first_event_at
-        first_ms = None if first is None else round((first - self.arrived) * 1000)
-        took = round((now - self.arrived) * 1000)
-        pause_ms = round(self.longest_pause * 1000)
-        late = (took if first_ms is None else first_ms) > route.objective * 1000
+        first_event_at = self.first_event_at
+        first_event_ms = (
+            None if first_event_at is None else round((first_event_at - self.arrived) * 1000)
+        )
+        total_ms = round((now - self.arrived) * 1000)
+        longest_pause_ms = round(self.longest_pause * 1000)
+        late = (total_ms if first_event_ms is None else first_event_ms) > route.objective * 1000
         if route.longest_pause:
-            late = late or pause_ms > route.longest_pause * 1000
-        return Report(took, first_ms, pause_ms, late, self.prediction_ratio)
+            late = late or longest_pause_ms > route.longest_pause * 1000
+        return LatencyReport(
+            total_ms, first_event_ms, longest_pause_ms, late, self.prediction_ratio
+        )
--- a/src/brassdrum/gateway/request/retry_budget.py
+++ b/src/brassdrum/gateway/request/retry_budget.py
@@ -7,7 +7,7 @@
 __all__ = ["SharedRetryBudget"]
 
 # The part of the allowance that is used; the rest covers daemons that join or count late.
-_SAFE_SHARE = 0.7
+_USABLE_SHARE = 0.7
 
 
 class SharedRetryBudget:
@@ -17,24 +17,24 @@
         self._ratio = ratio
         self._slack = slack
         self._window = window
-        self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._request_times: deque[float] = deque()
+        self._retry_times: deque[float] = deque()
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a first send."""
-        self._requests.append(now)
+        self._request_times.append(now)
 
-    def left(self, now: float, daemons: int) -> float:
+    def remaining(self, now: float, live_daemons: int) -> float:
         """Return how many repeats this daemon may still send in the window."""
-        for times in (self._requests, self._repeats):
+        for times in (self._request_times, self._retry_times):
             while times and times[0] <= now - self._window:
                 times.popleft()
-        allowed = self._ratio * len(self._requests) + self._slack / max(1, daemons)
-        return allowed * _SAFE_SHARE - len(self._repeats)
+        allowed = self._ratio * len(self._request_times) + self._slack / max(1, live_daemons)
+        return allowed * _USABLE_SHARE - len(self._retry_times)
 
-    def spend(self, now: float, daemons: int) -> bool:
+    def try_consume(self, now: float, live_daemons: int) -> bool:
         """Count a repeat, or return False when none is left."""
-        if self.left(now, daemons) < 1.0:
+        if self.remaining(now, live_daemons) < 1.0:
             return False
-        self._repeats.append(now)
+        self._retry_times.append(now)
         return True
--- a/src/brassdrum/gateway/request/wait_queue.py
+++ b/src/brassdrum/gateway/request/wait_queue.py
@@ -28,7 +28,7 @@
     """Wait for an endpoint."""
 
     service: str
-    times: WaitDeadlines
+    wait_deadlines: WaitDeadlines
 
     @property
     def priority(self) -> int:
@@ -73,7 +73,7 @@
         """Look at a request no more."""
         self._requests.pop(request, None)
         now = self._loop.now()
-        if served and now > request.times.timely_until:
+        if served and now > request.wait_deadlines.timely_until:
             self._late_served.append(now)
 
     def admits_late(self, request: WaitingRequest) -> bool:
@@ -86,7 +86,9 @@
         while self._late_served and self._late_served[0] < now - _LATE_WINDOW_SECONDS:
             self._late_served.popleft()
         ahead = sum(
-            1 for each in self._requests if each is not request and each.times.timely_until < now
+            1
+            for each in self._requests
+            if each is not request and each.wait_deadlines.timely_until < now
         )
         return ahead < len(self._late_served) + _LATE_PROBES
 
@@ -120,11 +122,11 @@
             self._overloaded_until = now
 
         def sort_key(request: WaitingRequest) -> tuple[int, bool, float]:
-            waited_seconds = now - request.times.arrived
+            waited_seconds = now - request.wait_deadlines.arrived
             return (
                 request.priority,
-                now > request.times.timely_until,
-                request.times.prefill_seconds - waited_seconds,
+                now > request.wait_deadlines.timely_until,
+                request.wait_deadlines.prefill_seconds - waited_seconds,
             )
 
         full: set[str] = set()
@@ -132,7 +134,7 @@
             if request not in self._requests:
                 continue
             # Those behind one that finds no place would find none either: a look costs 0.2 ms.
-            if request.service in full and now < request.times.decide_by:
+            if request.service in full and now < request.wait_deadlines.decide_by:
                 continue
             if not request.retry_placement():
                 full.add(request.service)
