--- a/src/brassdrum/gateway/request/__init__.py
+++ b/src/brassdrum/gateway/request/__init__.py
@@ -1,1 +1,1 @@
-"""Carry one request from its arrival through its attempts to its answer."""
+"""Processing of one request: admission, queueing, attempts, retries and the response."""
--- a/src/brassdrum/gateway/request/admission.py
+++ b/src/brassdrum/gateway/request/admission.py
@@ -1,4 +1,4 @@
-"""Judge a caller's request before it is sent anywhere; a pure decision."""
+"""Admission control: check a request before it is sent to an endpoint; no side effects."""
 
 from __future__ import annotations
 
@@ -10,13 +10,12 @@
 
 __all__ = ["AdmittedRequest", "Refusal", "admit"]
 
-# A daemon without configuration or endpoints asks callers to come back after this.
 _STARTUP_RETRY_AFTER_SECONDS = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class AdmittedRequest:
-    """Hold a request whose route is known; ``organisation`` is None on anonymous routes."""
+    """An admitted request with its route; ``organisation`` is None on anonymous routes."""
 
     request: DeclaredRequest
     route: Route
@@ -25,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Hold the final answer to a request that has not run; ``retry_after`` in seconds."""
+    """The response to a request that is not executed; ``retry_after`` is in seconds."""
 
     status: int
     detail: str
@@ -34,7 +33,7 @@
 
 
 def admit(knowledge: Knowledge, dialect: Dialect, head: RequestHead) -> AdmittedRequest | Refusal:
-    """Return the route and the organisation of a request, or why it is refused."""
+    """Return the request with its route and organisation, or the reason for its refusal."""
     configuration = knowledge.configuration
     if configuration is None:
         return Refusal(503, "no configuration yet", _STARTUP_RETRY_AFTER_SECONDS)
