--- a/src/brassdrum/gateway/request/caller_timeouts.py
+++ b/src/brassdrum/gateway/request/caller_timeouts.py
@@ -1,4 +1,4 @@
-"""Say for how long callers wait, and when a waiting request must be decided; pure decisions."""
+"""Timeouts of callers, and the deadlines of queued requests that follow from them."""
 
 from __future__ import annotations
 
@@ -16,19 +16,18 @@
     "retry_after_header",
 ]
 
-# Callers give a stream up when it is silent for the longest of these: the platform's own rule.
+# The platform's rule: callers abandon a stream that stalls for the longest of these times.
 _MIN_STALL_TIMEOUT_SECONDS = 2.0
 _STALL_OBJECTIVES = 4.0
 _STALL_PAUSES = 8.0
-# A waiting request counts as timely while this many times its prediction is left: at nine in ten
-# the first event comes within 1.9 to 2.2 times, at half of them within 1.4.
+# Nine in ten first events arrive within about twice the predicted time.
 _PREDICTION_FACTOR = 2.0
-# A refusal names at most this part of the time left, or the caller would not wait for it.
+# Callers honour a Retry-After of up to a third of their remaining time.
 _RETRY_AFTER_SHARE = 0.3
 
 
 def caller_stall_timeout(route: Route) -> float:
-    """Return the seconds of silence after which a caller gives a stream up."""
+    """Return the seconds without an event after which a caller abandons a stream."""
     return max(
         _MIN_STALL_TIMEOUT_SECONDS,
         _STALL_OBJECTIVES * route.objective,
@@ -37,28 +36,27 @@
 
 
 def caller_timeout(route: Route, request: DeclaredRequest) -> float:
-    """Return the seconds after which a caller without any event of its answer gives up."""
+    """Return the seconds after which a caller abandons a request without a first event."""
     allowed = min(request.patience, route.timeout)
     return min(allowed, caller_stall_timeout(route)) if route.streams else allowed
 
 
 def max_retry_after(left: float) -> float:
-    """Return after how many seconds a caller comes back at the latest."""
+    """Return the longest Retry-After, in seconds, that a caller honours."""
     return _RETRY_AFTER_SHARE * max(0.0, left)
 
 
 def retry_after_header(seconds_wanted: float, left: float) -> Headers:
-    """Return the header that tells a caller when to come back; ``left`` is its time, in seconds."""
+    """Return a Retry-After header; ``left`` is the remaining time of the caller, in seconds."""
     seconds = min(seconds_wanted, max_retry_after(left))
     return [(b"Retry-After", b"%.2f" % max(0.01, math.floor(seconds * 100) / 100))]
 
 
 @dataclass(slots=True)
 class WaitDeadlines:
-    """Hold when a waiting request becomes late and when it must be decided; seconds.
+    """When a queued request becomes late, and when it has to be sent or refused; in seconds.
 
-    ``work`` is the reading that it asks for. Until a first look at engines both moments are those
-    of its objective.
+    Before the first placement both deadlines equal the objective.
     """
 
     arrived: float
@@ -72,7 +70,7 @@
         self.timely_until = self.decide_by = self.arrived + self.objective
 
     def update(self, placement: Placement, now: float) -> None:
-        """Take what is predicted for the best endpoints now."""
+        """Recompute the deadlines from the best placement now."""
         first_event_margin = placement.first_event_ms / 1000 * _PREDICTION_FACTOR
         self.prefill_seconds = placement.work_ms / 1000
         self.timely_until = self.decide_by = self.arrived + self.objective - first_event_margin
