--- a/src/brassdrum/gateway/request/event_stream.py
+++ b/src/brassdrum/gateway/request/event_stream.py
@@ -1,4 +1,4 @@
-"""Cut a stream of server-sent events into whole events and check their order."""
+"""Split a stream of server-sent events into events and check the sequence of their IDs."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class EventOrderError(Exception):
-    """Tell that an event is missing, repeated or belongs to another stream."""
+    """Raised when an event is missing, repeated or belongs to another stream."""
 
 
 class EventStreamReader:
-    """Return whole events; hold back a part of one until the rest comes."""
+    """Buffer a stream and return its complete events."""
 
     def __init__(self, last_id: int | None) -> None:
         self.last_id = last_id
@@ -23,11 +23,11 @@
 
     @property
     def incomplete(self) -> bytes:
-        """Return the bytes after the last whole event."""
+        """Return the bytes after the last complete event."""
         return self._buffer
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events as they came, or raise ``EventOrderError``."""
+        """Return the bytes of all complete events, or raise ``EventOrderError``."""
         self._buffer += data
         end = 0
         for match in _EVENT_END.finditer(self._buffer):
@@ -42,5 +42,7 @@
             return
         number = int(match.group(1))
         if self.last_id is not None and number != self.last_id + 1:
-            raise EventOrderError(f"event {number} follows event {self.last_id}")
+            raise EventOrderError(
+                f"event ID {number} is out of order after event ID {self.last_id}"
+            )
         self.last_id = number
