--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -37,7 +37,7 @@
 
 # Endpoints enforce the deadline too; this leaves time for their own response to arrive.
 _DEADLINE_GRACE_SECONDS = 0.05
-# Failed connects are not charged to the retry budget, so this bounds them during an outage.
+# Attempts that send nothing are not counted as sends, so this bounds them during an outage.
 _MAX_UNSENT_ATTEMPTS = 4
 # A request is not sent again with less time than this left.
 _MIN_RESEND_SECONDS = 0.05
--- a/src/brassdrum/gateway/request/exchange_context.py
+++ b/src/brassdrum/gateway/request/exchange_context.py
@@ -1,4 +1,4 @@
-"""What a request's exchange asks of the daemon that carries it."""
+"""Interface of the daemon that an exchange depends on."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ExchangeContext(AttemptContext, Protocol):
-    """Give an exchange what it shares with all others of this daemon."""
+    """State and services of the daemon that all exchanges share."""
 
     knowledge: Knowledge
     beliefs: Beliefs
@@ -29,24 +29,24 @@
     guard: CrashGuard
 
     def place(self, exchange: Exchange, need: Need) -> Placement | None:
-        """Return where to send a request now."""
+        """Return the best placement for a request now, or None without a usable endpoint."""
 
     def may_wait(self, exchange: Exchange) -> bool:
-        """Return whether a request may wait for calmer engines."""
+        """Return whether a request may wait for a better placement."""
 
     def consume_retry(self, service: str) -> bool:
-        """Take one repeated send from the shared budget, or return False."""
+        """Take one retry from the shared budget, or return False if it is exhausted."""
 
     def log_decision(self, event: LogEvent, **values: object) -> None:
-        """Log a decision that touches a request."""
+        """Log a decision about a request."""
 
     def response_interrupted(self, attempt: Attempt, lost: LostRequest) -> None:
-        """Learn that an endpoint broke off an answer without saying why."""
+        """Handle a response that an endpoint cut off without a reason."""
 
     def retries_left(self, service: str) -> float:
-        """Return how many repeats this daemon may still send."""
+        """Return the number of retries that this daemon may still send."""
 
     def exchange_finished(
         self, exchange: Exchange, outcome: Outcome, status: int, detail: str
     ) -> None:
-        """Learn that a request got its final answer."""
+        """Handle the end of a request."""
