--- a/src/brassdrum/gateway/request/held_requests.py
+++ b/src/brassdrum/gateway/request/held_requests.py
@@ -1,8 +1,7 @@
-"""Keep requests that come before the first configuration is known.
+"""Hold requests that arrive before the first configuration is known.
 
-A daemon that starts knows nothing until a peer or the store tells it, and callers come at once.
-Most may come again only once, so a refusal in that moment is for many the last word. They wait here
-instead, for a part of the time that they have, and are answered when the daemon knows how.
+Callers connect as soon as a daemon has started, and most of them retry only once, so a refusal
+during startup would often be final. Requests are held for a share of their timeout instead.
 """
 
 from __future__ import annotations
@@ -16,24 +15,23 @@
 
 __all__ = ["HeldRequest", "HeldRequestQueue", "max_hold_seconds"]
 
-# Part of its time for which a request waits. Its caller may come again: a refusal then still leaves
-# a third of the rest until it does, and as long a wait there.
+# Share of its timeout for which a request is held; leaves time for one retry that is held as long.
 _HOLD_RATIO = 0.15
-# A caller that resumes a stream has come again already.
+# A caller that resumes a stream has already used its retry.
 _RESUMED_HOLD_RATIO = 0.4
 _MAX_HELD_REQUESTS = 256
 _MAX_HELD_BYTES = 16 << 20
 
 
 def max_hold_seconds(request: DeclaredRequest) -> float:
-    """Return for how many seconds a request waits for the first configuration."""
+    """Return the seconds for which a request may wait for the first configuration."""
     share = _HOLD_RATIO if request.resume_after is None else _RESUMED_HOLD_RATIO
     return share * request.patience
 
 
 @dataclass(slots=True)
 class HeldRequest:
-    """Hold one request, and hand on that its caller left; times in seconds."""
+    """A request that waits for a configuration; times are in seconds."""
 
     connection: CallerConnection
     head: RequestHead
@@ -45,7 +43,7 @@
     handler: CallerHandler | None = None
 
     def caller_left(self) -> None:
-        """Stop waiting, or stop the work."""
+        """Drop the request, or tell its handler once it is being processed."""
         if self.handler is None:
             self.on_caller_left(self)
             return
@@ -53,7 +51,7 @@
 
 
 class HeldRequestQueue:
-    """Let requests wait, in the order in which they came."""
+    """A bounded queue of held requests, in order of arrival."""
 
     def __init__(self, loop: Timers, refuse: Callable[[HeldRequest, str], None]) -> None:
         self._loop = loop
@@ -62,13 +60,13 @@
         self._held_bytes = 0
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of held requests."""
         return len(self._held)
 
     def hold(
         self, connection: CallerConnection, head: RequestHead, body: bytes, request: DeclaredRequest
     ) -> HeldRequest | None:
-        """Let a request wait; return None where too many do."""
+        """Hold a request; return None if the queue is full."""
         if len(self._held) >= _MAX_HELD_REQUESTS or self._held_bytes + len(body) > _MAX_HELD_BYTES:
             return None
         held = HeldRequest(connection, head, body, request, self._loop.now(), self._remove)
@@ -80,13 +78,13 @@
         return held
 
     def release(self, handle: Callable[[HeldRequest], CallerHandler | None]) -> None:
-        """Answer all that wait."""
+        """Pass all held requests to ``handle``."""
         for held in list(self._held):
             self._remove(held)
             held.handler = handle(held)
 
     def refuse_all(self, detail: str) -> None:
-        """Refuse all that wait."""
+        """Refuse all held requests."""
         for held in list(self._held):
             self._refuse_held(held, detail)
 
