--- a/src/brassdrum/gateway/request/outcome.py
+++ b/src/brassdrum/gateway/request/outcome.py
@@ -1,4 +1,4 @@
-"""How a request ended, and how long it took against what its route asks for."""
+"""Outcomes of requests, and their latencies compared with the objectives of their routes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Outcome(Enum):
-    """Say how a request ended, for logs and metrics."""
+    """The outcome of a request, as logs and metrics name it."""
 
     SERVED = auto()
     REFUSED = auto()
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LatencyReport:
-    """Hold how long a request took, in ms, and whether that is over its route's objective.
+    """Latencies of a request, and whether they exceed the limits of its route.
 
-    ``prediction_ratio`` is the first event's time over what was predicted at its last send.
+    ``prediction_ratio`` is the time from the last send to the first event over its prediction.
     """
 
     total_ms: int
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class ResponseTiming:
-    """Note when the events of one answer reach its caller; times in seconds."""
+    """Record when events are forwarded to the caller; times are in seconds."""
 
     arrived: float
     first_event_at: float | None = None
@@ -49,12 +49,12 @@
     _predicted_seconds: float = 0.0
 
     def record_send(self, now: float, predicted_ms: float) -> None:
-        """Note when the request is sent and what is predicted of its first event."""
+        """Record a send and the predicted time to the first event."""
         self._sent_at = now
         self._predicted_seconds = predicted_ms / _MS
 
     def record_event(self, now: float) -> None:
-        """Note an event."""
+        """Record an event."""
         if self.first_event_at is None:
             self.first_event_at = now
             if self._predicted_seconds:
@@ -64,7 +64,7 @@
         self._last_event_at = now
 
     def report(self, route: Route, now: float) -> LatencyReport:
-        """Return how long the request took."""
+        """Return the latencies up to ``now``."""
         first_event_at = self.first_event_at
         first_event_ms = (
             None if first_event_at is None else round((first_event_at - self.arrived) * 1000)
