--- a/src/brassdrum/gateway/request/retry_budget.py
+++ b/src/brassdrum/gateway/request/retry_budget.py
@@ -1,4 +1,4 @@
-"""Keep repeated sends of all daemons within the operator's budget."""
+"""The part of one daemon in the retry budget that all daemons share."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 __all__ = ["SharedRetryBudget"]
 
-# The part of the allowance that is used; the rest covers daemons that join or count late.
+# The rest is a margin for daemons that have just joined or are counted late.
 _USABLE_SHARE = 0.7
 
 
 class SharedRetryBudget:
-    """Count own requests and repeats of one service over a sliding window."""
+    """Count this daemon's requests and retries of one service in a sliding window."""
 
     def __init__(self, ratio: float, slack: float, window: float) -> None:
         self._ratio = ratio
@@ -21,11 +21,11 @@
         self._retry_times: deque[float] = deque()
 
     def record_request(self, now: float) -> None:
-        """Count a first send."""
+        """Count a request that is sent for the first time."""
         self._request_times.append(now)
 
     def remaining(self, now: float, live_daemons: int) -> float:
-        """Return how many repeats this daemon may still send in the window."""
+        """Return the number of retries that this daemon may still send in the window."""
         for times in (self._request_times, self._retry_times):
             while times and times[0] <= now - self._window:
                 times.popleft()
@@ -33,7 +33,7 @@
         return allowed * _USABLE_SHARE - len(self._retry_times)
 
     def try_consume(self, now: float, live_daemons: int) -> bool:
-        """Count a repeat, or return False when none is left."""
+        """Count a retry, or return False if none is left."""
         if self.remaining(now, live_daemons) < 1.0:
             return False
         self._retry_times.append(now)
