--- a/src/brassdrum/gateway/request/stall_timeouts.py
+++ b/src/brassdrum/gateway/request/stall_timeouts.py
@@ -1,4 +1,4 @@
-"""Say for how long an endpoint may be silent before a request is sent again; a pure decision."""
+"""Timeouts after which a stalled endpoint's request is sent to another one."""
 
 from __future__ import annotations
 
@@ -6,33 +6,30 @@
 
 __all__ = ["prefill_explains_stall", "stall_extension", "stall_timeout"]
 
-# A stream is given up at an endpoint when its first event is later than its objective, this
-# slack and this many times the prediction; sending it again reads the whole prompt again.
+# Tolerance beyond the objective for the first event; a resend repeats the whole prefill.
 _FIRST_EVENT_FACTOR = 2.0
 _FIRST_EVENT_SLACK_SECONDS = 0.7
-# Later on it is given up when it pauses this much longer than its route allows: late it is then in
-# any case, and callers wait for 2 s at least.
+# A pause within this tolerance already makes the response late, but callers wait longer than that.
 _PAUSE_FACTOR = 1.6
 _PAUSE_SLACK_SECONDS = 0.8
-# Work of this length explains a silence that is longer than allowed. Prompts are read in passes
-# with streams, which takes up to a third longer than reading alone.
+# Queued prefill of at least this length explains a stall.
 _MIN_EXPLAINING_PREFILL_SECONDS = 0.3
-_PREFILL_FACTOR = 1.3
-# The part of the caller's patience that known work may use up: the rest is for another endpoint.
+_PREFILL_FACTOR = 1.3  # batching with decoding slows prefill by up to a third
+# Share of the caller's timeout that an extension may use; the rest is left for a resend.
 _CALLER_TIMEOUT_SHARE = 0.8
 _MIN_EXTENSION_SECONDS = 0.05
 
 
 def prefill_explains_stall(prefill_seconds: float) -> bool:
-    """Return whether an endpoint with seconds of reading may be silent and sound."""
+    """Return whether queued prefill explains why a healthy endpoint sends no events."""
     return prefill_seconds >= _MIN_EXPLAINING_PREFILL_SECONDS
 
 
 def stall_extension(elapsed: float, caller_timeout: float, prefill_seconds: float) -> float | None:
-    """Return for how many more seconds known work explains an endpoint's silence, or None.
+    """Return the seconds by which queued prefill extends a stall timeout, or None.
 
-    ``reading`` is what the endpoint has to read, ``silent`` how long it was silent so far, both in
-    seconds. Prompts that are sent again are read again: on a busy fleet that makes others silent.
+    ``elapsed`` is the time waited so far, in seconds. Resends repeat the prefill, which
+    would cause further stalls on a busy fleet.
     """
     if not prefill_explains_stall(prefill_seconds):
         return None
@@ -43,7 +40,10 @@
 
 
 def stall_timeout(route: Route, predicted_ms: float | None) -> float:
-    """Return seconds; ``predicted_ms`` is the time to the first event, None once that came."""
+    """Return the stall timeout in seconds.
+
+    ``predicted_ms`` is the predicted time to the first event, None once that has arrived.
+    """
     if route.kind is RouteKind.IDEMPOTENT:
         return route.objective
     if predicted_ms is None:
