--- a/src/brassdrum/gateway/request/stall_watchdog.py
+++ b/src/brassdrum/gateway/request/stall_watchdog.py
@@ -1,4 +1,4 @@
-"""Watch one attempt for a silence that the endpoint's work does not explain."""
+"""Watchdog that detects a stalled attempt."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 class StallWatchdogOwner(Protocol):
-    """Say what is known of the attempt that is watched."""
+    """The exchange whose current attempt is watched."""
 
     route: Route
 
     def can_replace_attempt(self) -> bool:
-        """Return whether the attempt may be given up for another one."""
+        """Return whether the attempt may be replaced by another one."""
 
     def queued_prefill_seconds(self) -> float:
-        """Return how long its endpoint has to read."""
+        """Return the seconds of prefill queued at the attempt's endpoint."""
 
     def endpoint_stalled(self, *, certain: bool) -> None:
-        """Learn that the endpoint is silent; ``certain`` where nothing explains it."""
+        """Handle a stall; ``certain`` means that queued prefill does not explain it."""
 
 
 class StallWatchdog:
-    """Hold the one timer of a request that would send it again."""
+    """The timer after which a request is sent to another endpoint."""
 
     def __init__(self, loop: Timers, owner: StallWatchdogOwner) -> None:
         self._loop = loop
@@ -41,13 +41,16 @@
         self._timer: Timer | None = None
 
     def start(self, predicted_ms: float | None) -> None:
-        """Wait from now on; ``predicted_ms`` is the time to the first event, None after it."""
+        """Start the timer.
+
+        ``predicted_ms`` is the predicted time to the first event, None once that has arrived.
+        """
         self._started_at = self._loop.now()
         seconds = stall_timeout(self._owner.route, predicted_ms)
         self._timer = self._loop.call_later(seconds, self._expired)
 
     def stop(self) -> None:
-        """Cancel what would send again: a second attempt beside the first, or after the end."""
+        """Cancel the timer, so that no second attempt starts beside the first or after its end."""
         if self._timer is not None:
             self._timer.cancel()
 
