--- a/src/brassdrum/gateway/request/wait_queue.py
+++ b/src/brassdrum/gateway/request/wait_queue.py
@@ -1,4 +1,4 @@
-"""Keep the requests that wait at this daemon, and look at them again in a set order."""
+"""Queue of requests that wait at this daemon for a better placement."""
 
 from __future__ import annotations
 
@@ -11,47 +11,45 @@
 
 __all__ = ["WaitingRequest", "WaitQueue"]
 
-# All waiting requests are looked at again after this at the latest: a pass takes about 45 ms.
+# Well below the duration of one engine pass, about 45 ms.
 _REVIEW_INTERVAL_SECONDS = 0.02
-# As many late requests may wait as were served in this time, which is what callers of short
-# prompts wait at most, and these more, to learn whether places have become free again.
+# The queue admits as many late requests as were served within this window, plus some probes that
+# detect that capacity is available again. Callers of short prompts wait no longer than the window.
 _LATE_WINDOW_SECONDS = 1.5
 _LATE_PROBES = 2
-# A line that was empty for this long is no longer the same overload.
+# An overload counts as over once the queue has been empty for this long.
 _OVERLOAD_RESET_SECONDS = 0.5
-# The shortest and longest times after which a refused caller is asked to come back.
 _MIN_RETRY_AFTER_SECONDS = 0.5
 _MAX_RETRY_AFTER_SECONDS = 8.0
 
 
 class WaitingRequest(Protocol):
-    """Wait for an endpoint."""
+    """A request in the queue."""
 
     service: str
     wait_deadlines: WaitDeadlines
 
     @property
     def priority(self) -> int:
-        """Return how urgent the request is; 0 is first."""
+        """Return the priority; 0 is the highest."""
 
     def retry_placement(self) -> bool:
-        """Send the request if an endpoint suits now; return False while every place is taken."""
+        """Send the request if a placement suits now; return False while all slots are in use."""
 
 
 class WaitQueue:
-    """Order waiting requests: urgent ones, then those that can be in time, the shortest work first.
+    """Order requests by priority, then timely before late ones, then by shortest prefill.
 
-    A request grows older as fast as work grows longer: after a second's wait it goes before one
-    that has just come and asks for a second less.
+    Time in the queue is subtracted from the prefill, so that long prompts are not starved.
 
-    A place that this daemon's own work frees goes to this daemon's own line at once, before other
-    daemons hear of it: they see no free place, and do not all send to the same one.
+    A slot that this daemon frees is offered to its own queue before other daemons learn of it,
+    which keeps them from all sending to the same slot.
     """
 
     def __init__(self, loop: EventLoop, jitter: Callable[[float], float]) -> None:
         self._loop = loop
         self._jitter = jitter
-        # In order of arrival, so that a seeded play repeats.
+        # A dict keeps the order of arrival, which makes simulations reproducible.
         self._requests: dict[WaitingRequest, None] = {}
         self._review_timer: Timer | None = None
         self._review_scheduled = False
@@ -60,7 +58,7 @@
         self._overloaded_until = 0.0
 
     def add(self, request: WaitingRequest) -> None:
-        """Look at a request again until it leaves."""
+        """Add a request; it is reviewed until it is removed."""
         now = self._loop.now()
         if now - self._overloaded_until > _OVERLOAD_RESET_SECONDS:
             self._overloaded_since = now
@@ -70,17 +68,17 @@
             self._start_review_timer()
 
     def remove(self, request: WaitingRequest, *, served: bool) -> None:
-        """Look at a request no more."""
+        """Remove a request."""
         self._requests.pop(request, None)
         now = self._loop.now()
         if served and now > request.wait_deadlines.timely_until:
             self._late_served.append(now)
 
     def admits_late(self, request: WaitingRequest) -> bool:
-        """Return whether a request that will be late has a chance that is worth its wait.
+        """Return whether a late request may wait.
 
-        Late requests get the places that timely ones leave. When there were none of late, the
-        caller is better told at once to come back.
+        Late requests only get slots that timely ones leave free. If there were few of these
+        recently, refusing the request lets its caller retry sooner.
         """
         now = self._loop.now()
         while self._late_served and self._late_served[0] < now - _LATE_WINDOW_SECONDS:
@@ -93,13 +91,13 @@
         return ahead < len(self._late_served) + _LATE_PROBES
 
     def retry_after_seconds(self) -> float:
-        """Return when a refused caller shall come back: an overload lasts as long again."""
+        """Return the Retry-After in seconds, as long as the overload has lasted so far."""
         lasted = self._loop.now() - self._overloaded_since if self._requests else 0.0
         bounded = min(_MAX_RETRY_AFTER_SECONDS, max(_MIN_RETRY_AFTER_SECONDS, lasted))
         return self._jitter(bounded)
 
     def schedule_review(self) -> None:
-        """Look at the line as soon as the present event is handled."""
+        """Review the queue once the current event has been handled."""
         if self._requests and not self._review_scheduled:
             self._review_scheduled = True
             self._loop.call_later(0.0, self._review)
@@ -133,7 +131,7 @@
         for request in sorted(self._requests, key=sort_key):
             if request not in self._requests:
                 continue
-            # Those behind one that finds no place would find none either: a look costs 0.2 ms.
+            # The service is full, so another placement would fail; it costs 0.2 ms.
             if request.service in full and now < request.wait_deadlines.decide_by:
                 continue
             if not request.retry_placement():
