--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -15,28 +15,28 @@
 from brassdrum.platform.dialect import PlatformDialect
 from features.gateway_world import HOST, SERVICE, route
 
-HARM = 10_000.0
+HARM_TOKENS = 10_000.0
 # Predictions against an objective of 1 s.
-_TIMELY_MS = 100.0
-_LATE_MS = 2_000.0
+_TIMELY_FIRST_EVENT_MS = 100.0
+_LATE_FIRST_EVENT_MS = 2_000.0
 
 
-class Beliefs:
+class FakeBeliefs:
     """Note what is believed of endpoints."""
 
     def __init__(self):
-        self.avoided = set()
+        self.suspected = set()
 
     def endpoint_failed(self, endpoint, *, certain, detail):
         """Note a certain failure."""
         if certain:
-            self.avoided.add(endpoint)
+            self.suspected.add(endpoint)
 
     def list_age(self):
         """Return no age."""
 
 
-class Knowledge:
+class FakeKnowledge:
     """Know the endpoints."""
 
     version = 1
@@ -49,7 +49,7 @@
         return self._entries
 
 
-class Pool:
+class FakeEndpointPool:
     """Note the calls that are sent."""
 
     def __init__(self):
@@ -62,31 +62,31 @@
         return call
 
 
-class Connection:
+class FakeCallerConnection:
     """Note the answers that a caller gets."""
 
     def __init__(self):
-        self.answers = []
+        self.statuses = []
 
     def answer(self, status, headers, body):
         """Note an answer."""
-        self.answers.append(status)
+        self.statuses.append(status)
 
 
-class Host:
+class FakeDaemon:
     """Give an exchange what a daemon would."""
 
     def __init__(self):
         self.loop = SimulatedLoop()
         self.dialect = PlatformDialect()
-        self.pool = Pool()
+        self.pool = FakeEndpointPool()
         self.table = LoadTable()
-        self.beliefs = Beliefs()
+        self.beliefs = FakeBeliefs()
         self.entries = [
             EndpointEntry(f"engine-{number}", SERVICE, f"10.0.0.{number}:80", "zone-a", 8, False)
             for number in (1, 2, 3)
         ]
-        self.knowledge = Knowledge(self.entries)
+        self.knowledge = FakeKnowledge(self.entries)
         self.harm = 0.0
         self.guard = CrashGuard(self.loop, self.table)
         self.wait_queue = WaitQueue(self.loop, lambda seconds: seconds)
@@ -95,8 +95,8 @@
     def place(self, exchange, need):
         """Place on the next engine that was not tried."""
         entry = next(each for each in self.entries if each.id not in exchange.tried_endpoints)
-        first_ms = _LATE_MS if self.harm else _TIMELY_MS
-        return Placement(entry, (), (), first_ms, "test", harm=self.harm, best_ms=10.0)
+        first_event_ms = _LATE_FIRST_EVENT_MS if self.harm else _TIMELY_FIRST_EVENT_MS
+        return Placement(entry, (), (), first_event_ms, "test", harm=self.harm, best_ms=10.0)
 
     def next_attempt_number(self):
         """Return the next number."""
@@ -127,60 +127,60 @@
         """Log nothing."""
 
 
-def begin(context, patience=10.0):
-    context.host = Host()
-    context.connection = Connection()
-    request = DeclaredRequest("a", b"POST", b"/text/x", HOST, [], patience, None, 50_000, 100)
+def start_exchange(context, timeout=10.0):
+    context.daemon = FakeDaemon()
+    context.connection = FakeCallerConnection()
+    request = DeclaredRequest("a", b"POST", b"/text/x", HOST, [], timeout, None, 50_000, 100)
     streams = route("text", RouteKind.STREAM, resumable=True, objective=1.0, max_attempts=3)
     exchange = Exchange(
-        context.host, context.connection, request, b"", streams, None, context.host.loop.now()
+        context.daemon, context.connection, request, b"", streams, None, context.daemon.loop.now()
     )
     exchange.service = SERVICE
     exchange.start()
     context.exchange = exchange
-    assert len(context.host.pool.calls) == 1
+    assert len(context.daemon.pool.calls) == 1
 
 
 @given("a request whose first endpoint cannot be reached")
 def step_unreachable(context):
-    begin(context)
-    context.fail = lambda: context.host.pool.calls[0].owner.broken(Break.NOT_SENT, "no way")
+    start_exchange(context)
+    context.fail = lambda: context.daemon.pool.calls[0].owner.broken(Break.NOT_SENT, "no way")
 
 
-@given("a request of {patience:g} s whose first endpoint cannot be reached")
-def step_unreachable_brief(context, patience):
-    begin(context, patience)
-    context.fail = lambda: context.host.pool.calls[0].owner.broken(Break.NOT_SENT, "no way")
+@given("a request of {timeout:g} s whose first endpoint cannot be reached")
+def step_unreachable_with_timeout(context, timeout):
+    start_exchange(context, timeout)
+    context.fail = lambda: context.daemon.pool.calls[0].owner.broken(Break.NOT_SENT, "no way")
 
 
 @given("a request whose first endpoint answers that it did not run")
-def step_not_run(context):
-    begin(context)
+def step_not_executed(context):
+    start_exchange(context)
     headers = [(b"X-Attempt-Id", b"a"), (b"X-Not-Executed", b"1")]
-    context.fail = lambda: context.host.pool.calls[0].owner.began(503, headers)
+    context.fail = lambda: context.daemon.pool.calls[0].owner.began(503, headers)
 
 
 @given("every other placement would harm others")
-def step_harm(context):
-    context.host.harm = HARM
+def step_other_placements_harm(context):
+    context.daemon.harm = HARM_TOKENS
     context.fail()
 
 
 @when("{seconds:d} seconds go by")
-def step_time(context, seconds):
-    context.host.loop.advance(float(seconds))
+def step_seconds_pass(context, seconds):
+    context.daemon.loop.advance(float(seconds))
 
 
 @then("the request is sent once more")
-def step_once_more(context):
-    assert len(context.host.pool.calls) == 2, len(context.host.pool.calls)
+def step_retried_once(context):
+    assert len(context.daemon.pool.calls) == 2, len(context.daemon.pool.calls)
 
 
 @then("the request is not sent again")
-def step_not_again(context):
-    assert len(context.host.pool.calls) == 1, len(context.host.pool.calls)
+def step_not_retried(context):
+    assert len(context.daemon.pool.calls) == 1, len(context.daemon.pool.calls)
 
 
 @then("the caller has one answer")
-def step_one_answer(context):
-    assert len(context.connection.answers) == 1, context.connection.answers
+def step_one_response(context):
+    assert len(context.connection.statuses) == 1, context.connection.statuses
--- a/features/steps/turning_away_steps.py
+++ b/features/steps/turning_away_steps.py
@@ -7,7 +7,7 @@
 from brassdrum.bench.load.loop import SimulatedLoop
 from brassdrum.gateway.following.suspicion import Suspicions
 from brassdrum.gateway.placing.load import EndpointLoad, LoadRow, endpoint_key
-from features.steps.exchange_steps import begin
+from features.steps.exchange_steps import start_exchange
 
 DAEMONS = 58
 ENDPOINTS = 78
@@ -111,20 +111,20 @@
 
 @given("a stream at an endpoint of 8 places of which others have {taken:d}")
 def step_taken(context, taken):
-    begin(context)
+    start_exchange(context)
     rows = [LoadRow(endpoint_key("engine-1"), EndpointLoad(calls=taken))]
-    context.host.table.merge("peer", rows, context.host.loop.now(), 1)
+    context.daemon.table.merge("peer", rows, context.daemon.loop.now(), 1)
 
 
 @when("the endpoint says that it did not run it")
 def step_turned_away(context):
     headers = [(b"X-Attempt-Id", b"a"), (b"X-Not-Executed", b"1")]
-    context.host.pool.calls[0].owner.began(503, headers)
+    context.daemon.pool.calls[0].owner.began(503, headers)
 
 
 @then("the endpoint is {believed}")
 def step_believed(context, believed):
-    assert ("engine-1" in context.host.beliefs.avoided) is (believed == "avoided")
+    assert ("engine-1" in context.daemon.beliefs.suspected) is (believed == "avoided")
 
 
 @given("a daemon that has just met a failure at an endpoint")
