--- a/features/gateway_exchange.feature
+++ b/features/gateway_exchange.feature
@@ -1,20 +1,20 @@
-Feature: One request is at one endpoint at a time
+Feature: A request has at most one attempt in flight
 
-  Scenario: A send that reached no endpoint leaves no timer behind
-    Given a request whose first endpoint cannot be reached
-    And every other placement would harm others
-    When 4 seconds go by
-    Then the request is sent once more
+  Scenario: A failed connect leaves no timer behind
+    Given a request whose first endpoint is unreachable
+    And every other placement would delay other requests
+    When 4 seconds pass
+    Then the request is retried exactly once
 
-  Scenario: A send that was refused leaves no timer behind
-    Given a request whose first endpoint answers that it did not run
-    And every other placement would harm others
-    When 4 seconds go by
-    Then the request is sent once more
+  Scenario: A rejected attempt leaves no timer behind
+    Given a request whose first endpoint replies that it did not execute it
+    And every other placement would delay other requests
+    When 4 seconds pass
+    Then the request is retried exactly once
 
-  Scenario: Nothing is sent for a request that has its final answer
-    Given a request of 1.92 s whose first endpoint cannot be reached
-    And every other placement would harm others
-    When 4 seconds go by
-    Then the caller has one answer
-    And the request is not sent again
+  Scenario: No attempt follows the final response
+    Given a request with a timeout of 1.92 s whose first endpoint is unreachable
+    And every other placement would delay other requests
+    When 4 seconds pass
+    Then the caller receives one response
+    And the request is not retried
--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -1,4 +1,4 @@
-"""Steps on one exchange in simulated time."""
+"""Steps on the attempts of one exchange, in simulated time."""
 
 import itertools
 
@@ -16,28 +16,28 @@
 from features.gateway_world import HOST, SERVICE, route
 
 HARM_TOKENS = 10_000.0
-# Predictions against an objective of 1 s.
+# The objective is 1 s.
 _TIMELY_FIRST_EVENT_MS = 100.0
 _LATE_FIRST_EVENT_MS = 2_000.0
 
 
 class FakeBeliefs:
-    """Note what is believed of endpoints."""
+    """Record suspected endpoints."""
 
     def __init__(self):
         self.suspected = set()
 
     def endpoint_failed(self, endpoint, *, certain, detail):
-        """Note a certain failure."""
+        """Record a certain failure."""
         if certain:
             self.suspected.add(endpoint)
 
     def list_age(self):
-        """Return no age."""
+        """Return None: the age is unknown."""
 
 
 class FakeKnowledge:
-    """Know the endpoints."""
+    """Provide the endpoints."""
 
     version = 1
 
@@ -50,31 +50,31 @@
 
 
 class FakeEndpointPool:
-    """Note the calls that are sent."""
+    """Record calls without sending them."""
 
     def __init__(self):
         self.calls = []
 
     def call(self, address, owner, request, *, fresh=False):
-        """Note a call that stays without an answer."""
+        """Record a call that receives no response."""
         call = EndpointCall(owner, request)
         self.calls.append(call)
         return call
 
 
 class FakeCallerConnection:
-    """Note the answers that a caller gets."""
+    """Record the responses to a caller."""
 
     def __init__(self):
         self.statuses = []
 
     def answer(self, status, headers, body):
-        """Note an answer."""
+        """Record the status of a response."""
         self.statuses.append(status)
 
 
 class FakeDaemon:
-    """Give an exchange what a daemon would."""
+    """Provide the context of an exchange."""
 
     def __init__(self):
         self.loop = SimulatedLoop()
@@ -93,7 +93,7 @@
         self._numbers = itertools.count()
 
     def place(self, exchange, need):
-        """Place on the next engine that was not tried."""
+        """Return the next engine that was not tried."""
         entry = next(each for each in self.entries if each.id not in exchange.tried_endpoints)
         first_event_ms = _LATE_FIRST_EVENT_MS if self.harm else _TIMELY_FIRST_EVENT_MS
         return Placement(entry, (), (), first_event_ms, "test", harm=self.harm, best_ms=10.0)
@@ -103,28 +103,28 @@
         return next(self._numbers)
 
     def may_wait(self, exchange):
-        """Let all wait."""
+        """Allow every request to wait."""
         return True
 
     def consume_retry(self, service):
-        """Let all repeat."""
+        """Allow every retry."""
         return True
 
     def retries_left(self, service):
-        """Return a full budget."""
+        """Return a budget that is never exhausted."""
         return 10.0
 
     def load_changed(self):
-        """Tell nobody."""
+        """Ignore the change."""
 
     def response_interrupted(self, attempt, witness):
-        """Check nothing."""
+        """Ignore the interruption."""
 
     def log_decision(self, event, **values):
-        """Log nothing."""
+        """Ignore the decision."""
 
     def exchange_finished(self, exchange, outcome, status, detail):
-        """Log nothing."""
+        """Ignore the outcome."""
 
 
 def start_exchange(context, timeout=10.0):
@@ -141,46 +141,50 @@
     assert len(context.daemon.pool.calls) == 1
 
 
-@given("a request whose first endpoint cannot be reached")
+@given("a request whose first endpoint is unreachable")
 def step_unreachable(context):
     start_exchange(context)
-    context.fail = lambda: context.daemon.pool.calls[0].owner.broken(Break.NOT_SENT, "no way")
+    context.fail = lambda: context.daemon.pool.calls[0].owner.broken(
+        Break.NOT_SENT, "connection refused"
+    )
 
 
-@given("a request of {timeout:g} s whose first endpoint cannot be reached")
+@given("a request with a timeout of {timeout:g} s whose first endpoint is unreachable")
 def step_unreachable_with_timeout(context, timeout):
     start_exchange(context, timeout)
-    context.fail = lambda: context.daemon.pool.calls[0].owner.broken(Break.NOT_SENT, "no way")
+    context.fail = lambda: context.daemon.pool.calls[0].owner.broken(
+        Break.NOT_SENT, "connection refused"
+    )
 
 
-@given("a request whose first endpoint answers that it did not run")
+@given("a request whose first endpoint replies that it did not execute it")
 def step_not_executed(context):
     start_exchange(context)
     headers = [(b"X-Attempt-Id", b"a"), (b"X-Not-Executed", b"1")]
     context.fail = lambda: context.daemon.pool.calls[0].owner.began(503, headers)
 
 
-@given("every other placement would harm others")
+@given("every other placement would delay other requests")
 def step_other_placements_harm(context):
     context.daemon.harm = HARM_TOKENS
     context.fail()
 
 
-@when("{seconds:d} seconds go by")
+@when("{seconds:d} seconds pass")
 def step_seconds_pass(context, seconds):
     context.daemon.loop.advance(float(seconds))
 
 
-@then("the request is sent once more")
+@then("the request is retried exactly once")
 def step_retried_once(context):
     assert len(context.daemon.pool.calls) == 2, len(context.daemon.pool.calls)
 
 
-@then("the request is not sent again")
+@then("the request is not retried")
 def step_not_retried(context):
     assert len(context.daemon.pool.calls) == 1, len(context.daemon.pool.calls)
 
 
-@then("the caller has one answer")
+@then("the caller receives one response")
 def step_one_response(context):
     assert len(context.connection.statuses) == 1, context.connection.statuses
