--- a/features/starting.feature
+++ b/features/starting.feature
@@ -1,60 +1,59 @@
-Feature: Callers who come before a daemon knows a configuration
-
-  The pattern: all hosts lose power at once while the store is silent. Daemons start within a second and
-  know nothing; callers whose streams were cut have one try left, new ones come all the time, and the
-  store is back after seconds that nobody can know. No network, simulated time; the last two with sockets.
-
-  Scenario: Those who wait are answered in their order once a configuration is known
-    Given a daemon that knows nothing
-    When callers a, b and c come with 10 s of time, 0.2 s apart
-    And a configuration is known after 0.5 s
-    Then callers a, b and c are answered, counted from when they came
-    And nobody waits
-
-  Scenario: Who waits in vain is told to come back while there is time for another wait
-    Given a daemon that knows nothing
-    When caller a comes with 10 s of time
-    And 1.4 s go by without a configuration
-    Then nobody is refused
-    When 0.2 s go by without a configuration
-    Then caller a is refused
-
-  Scenario: A caller that resumes a stream has come again already, and waits for longer
-    Given a daemon that knows nothing
-    When caller a comes with 10 s of time and resumes a stream
-    And 3.9 s go by without a configuration
-    Then nobody is refused
-    When 0.2 s go by without a configuration
-    Then caller a is refused
-
-  Scenario: Callers with little time are told at once, and those who leave are forgotten
-    Given a daemon that knows nothing
-    When caller a comes with 0.6 s of time
-    And caller b comes with 10 s of time
-    And caller b leaves
-    And 0.1 s go by without a configuration
-    Then caller a is refused
-    And nobody waits
-
-  Scenario: What waits is bounded
-    Given a daemon that knows nothing
-    When 300 callers come with 10 s of time
-    Then 256 callers wait
-    When callers come with bodies of 4 MB until one may not wait
-    Then 4 callers wait with such bodies
-
-  Scenario: A planned stop refuses those who wait
-    Given a daemon that knows nothing
-    When callers a, b and c come with 10 s of time, 0.2 s apart
-    And the daemon is about to stop
-    Then callers a, b and c are refused
-
-  Scenario: A request that comes before the configuration is served
-    Given a gateway before one endpoint whose store holds nothing yet
-    When a caller sends a "check" and the store gets its records 0.2 s later
+Feature: Requests that arrive before a daemon has a configuration
+
+  Guards against refusing all requests when all hosts restart while the store is unavailable: callers of
+  interrupted streams have one retry left. Simulated time; only the last scenarios use sockets.
+
+  Scenario: Held requests are processed in order once a configuration is known
+    Given a daemon without a configuration
+    When callers a, b and c send requests with a timeout of 10 s, 0.2 s apart
+    And a configuration arrives after 0.5 s
+    Then the requests of callers a, b and c are processed with their arrival times
+    And no request is held
+
+  Scenario: A held request is refused while its caller has time for a retry
+    Given a daemon without a configuration
+    When caller a sends a request with a timeout of 10 s
+    And 1.4 s pass without a configuration
+    Then no held request is refused
+    When 0.2 s pass without a configuration
+    Then the request of caller a is refused
+
+  Scenario: A request that resumes a stream is held for longer
+    Given a daemon without a configuration
+    When caller a sends a request with a timeout of 10 s that resumes a stream
+    And 3.9 s pass without a configuration
+    Then no held request is refused
+    When 0.2 s pass without a configuration
+    Then the request of caller a is refused
+
+  Scenario: A short timeout shortens the hold, and a disconnect ends it
+    Given a daemon without a configuration
+    When caller a sends a request with a timeout of 0.6 s
+    And caller b sends a request with a timeout of 10 s
+    And caller b disconnects
+    And 0.1 s pass without a configuration
+    Then the request of caller a is refused
+    And no request is held
+
+  Scenario: The number and size of held requests are bounded
+    Given a daemon without a configuration
+    When 300 callers send requests with a timeout of 10 s
+    Then 256 requests are held
+    When callers send requests with bodies of 4 MB until one is not held
+    Then 4 requests with such bodies are held
+
+  Scenario: A planned stop refuses held requests
+    Given a daemon without a configuration
+    When callers a, b and c send requests with a timeout of 10 s, 0.2 s apart
+    And the daemon begins a planned stop
+    Then the requests of callers a, b and c are refused
+
+  Scenario: A request that arrives before the configuration is served
+    Given a gateway with one endpoint and an empty store
+    When a caller sends a "check" and the store receives its records 0.2 s later
     Then the answer is 200 and "whole"
 
-  Scenario: A request that comes before the configuration is refused as not run when the daemon stops
-    Given a gateway before one endpoint whose store holds nothing yet
-    When a caller sends a "check" and the gateway gets the signal to stop 0.2 s later
-    Then the answer is 503, to come back in 0.01 s
+  Scenario: A held request is refused as not executed when the daemon stops
+    Given a gateway with one endpoint and an empty store
+    When a caller sends a "check" and the gateway receives the stop signal 0.2 s later
+    Then the response is 503 with a Retry-After of 0.01 s
--- a/features/steps/starting_steps.py
+++ b/features/steps/starting_steps.py
@@ -1,4 +1,4 @@
-"""Steps on callers who come before a daemon knows a configuration."""
+"""Steps on requests that arrive before a daemon has a configuration."""
 
 import re
 import threading
@@ -14,150 +14,150 @@
 HEAD = RequestHead(b"GET", b"/", [])
 
 
-class Handling:
-    """Note that the caller of a request that is being answered left."""
+class FakeHandler:
+    """Handler of a request that is being processed."""
 
     def caller_left(self):
-        """Do nothing."""
+        """Ignore the disconnect."""
 
 
-@given("a daemon that knows nothing")
-def step_nothing_known(context):
+@given("a daemon without a configuration")
+def step_no_configuration(context):
     context.loop = SimulatedLoop()
     context.refused = []
-    context.early = HeldRequestQueue(
-        context.loop, lambda early, _detail: context.refused.append(early.request.id)
+    context.held_requests = HeldRequestQueue(
+        context.loop, lambda held, _detail: context.refused.append(held.request.id)
     )
     context.arrived_by_caller = {}
     context.held_by_caller = {}
 
 
-def come(context, caller, seconds, resumed=None, body=b""):
-    request = DeclaredRequest(caller, b"GET", b"/", "h", [], seconds, resume_after=resumed)
+def hold_request(context, caller, timeout, resume_after=None, body=b""):
+    request = DeclaredRequest(caller, b"GET", b"/", "h", [], timeout, resume_after=resume_after)
     context.arrived_by_caller[caller] = context.loop.now()
-    held = context.early.hold(None, HEAD, body, request)
+    held = context.held_requests.hold(None, HEAD, body, request)
     context.held_by_caller[caller] = held
     return held
 
 
-@when("callers {callers} come with {seconds:g} s of time, {apart:g} s apart")
-def step_callers(context, callers, seconds, apart):
+@when("callers {callers} send requests with a timeout of {timeout:g} s, {interval:g} s apart")
+def step_callers(context, callers, timeout, interval):
     for caller in re.findall(r"\b[a-c]\b", callers):
-        come(context, caller, seconds)
-        context.loop.advance(apart)
+        hold_request(context, caller, timeout)
+        context.loop.advance(interval)
 
 
-@when("caller {caller:w} comes with {seconds:g} s of time")
-def step_caller(context, caller, seconds):
-    come(context, caller, seconds)
+@when("caller {caller:w} sends a request with a timeout of {timeout:g} s")
+def step_caller(context, caller, timeout):
+    hold_request(context, caller, timeout)
 
 
-@when("caller {caller:w} comes with {seconds:g} s of time and resumes a stream")
-def step_resumes(context, caller, seconds):
-    come(context, caller, seconds, resumed=3)
+@when("caller {caller:w} sends a request with a timeout of {timeout:g} s that resumes a stream")
+def step_resumes(context, caller, timeout):
+    hold_request(context, caller, timeout, resume_after=3)
 
 
-@when("caller {caller:w} leaves")
-def step_caller_leaves(context, caller):
+@when("caller {caller:w} disconnects")
+def step_caller_disconnects(context, caller):
     context.held_by_caller[caller].caller_left()
 
 
-@when("{count:d} callers come with {seconds:g} s of time")
-def step_many(context, count, seconds):
+@when("{count:d} callers send requests with a timeout of {timeout:g} s")
+def step_many(context, count, timeout):
     for number in range(count):
-        come(context, str(number), seconds)
+        hold_request(context, str(number), timeout)
 
 
-@when("callers come with bodies of {size:d} MB until one may not wait")
-def step_large(context, size):
-    context.early.refuse_all("cleared")
-    while come(context, "large", 10.0, body=bytes(size << 20)) is not None:
+@when("callers send requests with bodies of {size:d} MB until one is not held")
+def step_large_bodies(context, size):
+    context.held_requests.refuse_all("cleared")
+    while hold_request(context, "large", 10.0, body=bytes(size << 20)) is not None:
         pass
 
 
-@when("{seconds:g} s go by without a configuration")
-def step_go_by(context, seconds):
+@when("{seconds:g} s pass without a configuration")
+def step_time_passes(context, seconds):
     context.loop.advance(seconds)
 
 
-@when("a configuration is known after {seconds:g} s")
-def step_known(context, seconds):
+@when("a configuration arrives after {seconds:g} s")
+def step_configuration_arrives(context, seconds):
     context.loop.advance(seconds)
-    context.answered = []
+    context.processed = []
 
-    def handle(early):
-        context.answered.append(early)
-        return Handling()
+    def handle(held):
+        context.processed.append(held)
+        return FakeHandler()
 
-    context.early.release(handle)
+    context.held_requests.release(handle)
 
 
-@when("the daemon is about to stop")
-def step_stops(context):
-    context.early.refuse_all("about to stop")
+@when("the daemon begins a planned stop")
+def step_planned_stop(context):
+    context.held_requests.refuse_all("about to stop")
 
 
-@then("callers {callers} are answered, counted from when they came")
-def step_answered(context, callers):
-    found = [(each.request.id, each.arrived) for each in context.answered]
-    wanted = re.findall(r"\b[a-c]\b", callers)
-    assert found == [(each, context.arrived_by_caller[each]) for each in wanted], found
+@then("the requests of callers {callers} are processed with their arrival times")
+def step_processed(context, callers):
+    processed = [(each.request.id, each.arrived) for each in context.processed]
+    expected = re.findall(r"\b[a-c]\b", callers)
+    assert processed == [(each, context.arrived_by_caller[each]) for each in expected], processed
 
 
-@then("nobody waits")
-def step_nobody_waits(context):
-    assert len(context.early) == 0
+@then("no request is held")
+def step_none_held(context):
+    assert len(context.held_requests) == 0
 
 
-@then("{count:d} callers wait")
-@then("{count:d} callers wait with such bodies")
-def step_wait_count(context, count):
-    assert len(context.early) == count, len(context.early)
+@then("{count:d} requests are held")
+@then("{count:d} requests with such bodies are held")
+def step_held_count(context, count):
+    assert len(context.held_requests) == count, len(context.held_requests)
 
 
-@then("nobody is refused")
-def step_nobody_refused(context):
+@then("no held request is refused")
+def step_none_refused(context):
     assert context.refused == [], context.refused
 
 
-@then("caller {caller:w} is refused")
+@then("the request of caller {caller:w} is refused")
 def step_one_refused(context, caller):
     assert context.refused == [caller], context.refused
 
 
-@then("callers {callers} are refused")
+@then("the requests of callers {callers} are refused")
 def step_several_refused(context, callers):
     assert context.refused == re.findall(r"\b[a-c]\b", callers), context.refused
 
 
-@given("a gateway before one endpoint whose store holds nothing yet")
-def step_empty_yet(context):
+@given("a gateway with one endpoint and an empty store")
+def step_empty_store(context):
     start(context, 1, 1, empty=True)
 
 
-@when('a caller sends a "{kind}" and the store gets its records {seconds:g} s later')
-def step_late_records(context, kind, seconds):
-    def fill():
+@when('a caller sends a "{kind}" and the store receives its records {seconds:g} s later')
+def step_delayed_records(context, kind, seconds):
+    def add_records():
         context.store.current = configuration(7, None, ())
         context.store.entries = [endpoint.entry() for endpoint in context.endpoints]
 
-    send_beside(context, kind, seconds, fill)
+    send_and_act_later(context, kind, seconds, add_records)
 
 
-@when('a caller sends a "{kind}" and the gateway gets the signal to stop {seconds:g} s later')
-def step_late_stop(context, kind, seconds):
+@when('a caller sends a "{kind}" and the gateway receives the stop signal {seconds:g} s later')
+def step_delayed_stop(context, kind, seconds):
     daemon = context.gateways[0].daemon
-    send_beside(context, kind, seconds, lambda: daemon.loop.post(daemon.leave))
+    send_and_act_later(context, kind, seconds, lambda: daemon.loop.post(daemon.leave))
 
 
-def send_beside(context, kind, seconds, act):
-    timer = threading.Timer(seconds, act)
+def send_and_act_later(context, kind, seconds, action):
+    timer = threading.Timer(seconds, action)
     timer.start()
     send(context, kind)
     timer.join()
 
 
-@then("the answer is {status:d}, to come back in {seconds:g} s")
-def step_come_back(context, status, seconds):
+@then("the response is {status:d} with a Retry-After of {seconds:g} s")
+def step_retry_after(context, status, seconds):
     assert context.answer.status == status, context.answer.status
     assert float(context.answer.header_by_name["retry-after"]) == seconds
