--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -11,7 +11,7 @@
 from brassdrum.gateway.placing.load import LoadTable
 from brassdrum.gateway.placing.placement import Placement
 from brassdrum.gateway.request.exchange import Exchange
-from brassdrum.gateway.request.wait_queue import WaitQueue
+from brassdrum.gateway.request.waiting import WaitQueue
 from brassdrum.platform.dialect import PlatformDialect
 from features.gateway_world import HOST, SERVICE, route
 
--- a/features/steps/gateway_adapter_steps.py
+++ b/features/steps/gateway_adapter_steps.py
@@ -18,7 +18,7 @@
     RouteKind,
     RouteTarget,
 )
-from brassdrum.gateway.request.event_stream import EventOrderError, EventStreamReader
+from brassdrum.gateway.request.events import EventOrderError, EventStreamReader
 from brassdrum.platform.documents import decode_configuration, decode_endpoint
 from brassdrum.platform.settings import read_settings
 from brassdrum.platform.store import PlatformStore
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -79,7 +79,7 @@
 def without_explanation():
     """Give a silent engine up whatever it has to read."""
     return Variant(
-        replaced=(("brassdrum.gateway.request.stall_watchdog.stall_extension", lambda *_: None),)
+        replaced=(("brassdrum.gateway.request.silence_watch.stall_extension", lambda *_: None),)
     )
 
 
--- a/features/steps/starting_steps.py
+++ b/features/steps/starting_steps.py
@@ -7,7 +7,7 @@
 
 from brassdrum.bench.load.loop import SimulatedLoop
 from brassdrum.gateway.model import DeclaredRequest, RequestHead
-from brassdrum.gateway.request.held_requests import HeldRequestQueue
+from brassdrum.gateway.request.early import HeldRequestQueue
 from features.gateway_world import configuration
 from features.steps.gateway_steps import send, start
 
--- a/src/brassdrum/bench/load/daemon.py
+++ b/src/brassdrum/bench/load/daemon.py
@@ -33,7 +33,7 @@
 from brassdrum.gateway.request.attempt import Attempt
 from brassdrum.gateway.request.exchange import Exchange
 from brassdrum.gateway.request.outcome import Outcome
-from brassdrum.gateway.request.wait_queue import WaitQueue
+from brassdrum.gateway.request.waiting import WaitQueue
 from brassdrum.telemetry.log_events import PLACED, LogEvent
 
 __all__ = ["SERVICE", "Fleet", "Prediction", "SimulatedDaemon"]
--- a/src/brassdrum/bench/load/play.py
+++ b/src/brassdrum/bench/load/play.py
@@ -21,8 +21,8 @@
     RouteTarget,
 )
 from brassdrum.gateway.placing.policies import Policy
-from brassdrum.gateway.request.caller_timeouts import caller_stall_timeout
 from brassdrum.gateway.request.exchange import Exchange
+from brassdrum.gateway.request.patience import caller_stall_timeout
 
 __all__ = ["ENGINE", "LoadResult", "play"]
 
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -46,12 +46,12 @@
 from brassdrum.gateway.placing.reservations import Reservations
 from brassdrum.gateway.request.admission import Refusal, admit
 from brassdrum.gateway.request.attempt import Attempt
-from brassdrum.gateway.request.caller_timeouts import max_retry_after
+from brassdrum.gateway.request.early import HeldRequest, HeldRequestQueue, max_hold_seconds
 from brassdrum.gateway.request.exchange import Exchange
-from brassdrum.gateway.request.held_requests import HeldRequest, HeldRequestQueue, max_hold_seconds
 from brassdrum.gateway.request.outcome import Outcome
+from brassdrum.gateway.request.patience import max_retry_after
 from brassdrum.gateway.request.retry_budget import SharedRetryBudget
-from brassdrum.gateway.request.wait_queue import WaitQueue
+from brassdrum.gateway.request.waiting import WaitQueue
 from brassdrum.gateway.stopping import PlannedStop, declared_duration
 from brassdrum.telemetry import log_events
 from brassdrum.telemetry.log_events import LogEvent
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -19,15 +19,15 @@
 from brassdrum.gateway.net.upstream import Break, OutgoingRequest
 from brassdrum.gateway.placing.placement import Need, Placement, Verdict, judge
 from brassdrum.gateway.request.attempt import Attempt, helper_name
-from brassdrum.gateway.request.caller_timeouts import (
+from brassdrum.gateway.request.events import EventOrderError, EventStreamReader
+from brassdrum.gateway.request.exchange_host import ExchangeContext
+from brassdrum.gateway.request.outcome import LatencyReport, Outcome, ResponseTiming
+from brassdrum.gateway.request.patience import (
     WaitDeadlines,
     caller_timeout,
     retry_after_header,
 )
-from brassdrum.gateway.request.event_stream import EventOrderError, EventStreamReader
-from brassdrum.gateway.request.exchange_context import ExchangeContext
-from brassdrum.gateway.request.outcome import LatencyReport, Outcome, ResponseTiming
-from brassdrum.gateway.request.stall_watchdog import StallWatchdog
+from brassdrum.gateway.request.silence_watch import StallWatchdog
 from brassdrum.outcomes.fingerprint import fingerprint
 from brassdrum.outcomes.quarantine import Standing
 from brassdrum.telemetry import log_events
--- a/src/brassdrum/gateway/request/exchange_context.py
+++ b/src/brassdrum/gateway/request/exchange_host.py
@@ -11,7 +11,7 @@
 from brassdrum.gateway.placing.placement import Need, Placement
 from brassdrum.gateway.request.attempt import Attempt, AttemptContext
 from brassdrum.gateway.request.outcome import Outcome
-from brassdrum.gateway.request.wait_queue import WaitQueue
+from brassdrum.gateway.request.waiting import WaitQueue
 from brassdrum.telemetry.log_events import LogEvent
 
 if TYPE_CHECKING:
--- a/src/brassdrum/gateway/request/stall_watchdog.py
+++ b/src/brassdrum/gateway/request/silence_watch.py
@@ -6,8 +6,8 @@
 
 from brassdrum.gateway.model import Route
 from brassdrum.gateway.net.loop import Timer, Timers
-from brassdrum.gateway.request.caller_timeouts import caller_stall_timeout
-from brassdrum.gateway.request.stall_timeouts import (
+from brassdrum.gateway.request.patience import caller_stall_timeout
+from brassdrum.gateway.request.silence import (
     prefill_explains_stall,
     stall_extension,
     stall_timeout,
--- a/src/brassdrum/gateway/request/wait_queue.py
+++ b/src/brassdrum/gateway/request/waiting.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from brassdrum.gateway.net.loop import EventLoop, Timer
-from brassdrum.gateway.request.caller_timeouts import WaitDeadlines
+from brassdrum.gateway.request.patience import WaitDeadlines
 
 __all__ = ["WaitingRequest", "WaitQueue"]
 
