--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -1,4 +1,4 @@
-"""Steps on one exchange in simulated time."""
+"""Steps on the attempts of one exchange, in simulated time."""
 
 import itertools
 
@@ -11,33 +11,33 @@
 from brassdrum.gateway.placing.load import LoadTable
 from brassdrum.gateway.placing.placement import Placement
 from brassdrum.gateway.request.exchange import Exchange
-from brassdrum.gateway.request.waiting import WaitingLine
+from brassdrum.gateway.request.waiting import WaitQueue
 from brassdrum.platform.dialect import PlatformDialect
 from features.gateway_world import HOST, SERVICE, route
 
-HARM = 10_000.0
-# Predictions against an objective of 1 s.
-_TIMELY_MS = 100.0
-_LATE_MS = 2_000.0
+HARM_TOKENS = 10_000.0
+# The objective is 1 s.
+_TIMELY_FIRST_EVENT_MS = 100.0
+_LATE_FIRST_EVENT_MS = 2_000.0
 
 
-class Beliefs:
-    """Note what is believed of endpoints."""
+class FakeBeliefs:
+    """Record suspected endpoints."""
 
     def __init__(self):
-        self.avoided = set()
+        self.suspected = set()
 
     def endpoint_failed(self, endpoint, *, certain, detail):
-        """Note a certain failure."""
+        """Record a certain failure."""
         if certain:
-            self.avoided.add(endpoint)
+            self.suspected.add(endpoint)
 
     def list_age(self):
-        """Return no age."""
+        """Return None: the age is unknown."""
 
 
-class Knowledge:
-    """Know the endpoints."""
+class FakeKnowledge:
+    """Provide the endpoints."""
 
     version = 1
 
@@ -49,138 +49,142 @@
         return self._entries
 
 
-class Pool:
-    """Note the calls that are sent."""
+class FakeEndpointPool:
+    """Record calls without sending them."""
 
     def __init__(self):
         self.calls = []
 
     def call(self, address, owner, request, *, fresh=False):
-        """Note a call that stays without an answer."""
+        """Record a call that receives no response."""
         call = EndpointCall(owner, request)
         self.calls.append(call)
         return call
 
 
-class Connection:
-    """Note the answers that a caller gets."""
+class FakeCallerConnection:
+    """Record the responses to a caller."""
 
     def __init__(self):
-        self.answers = []
+        self.statuses = []
 
     def answer(self, status, headers, body):
-        """Note an answer."""
-        self.answers.append(status)
+        """Record the status of a response."""
+        self.statuses.append(status)
 
 
-class Host:
-    """Give an exchange what a daemon would."""
+class FakeDaemon:
+    """Provide the context of an exchange."""
 
     def __init__(self):
         self.loop = SimulatedLoop()
         self.dialect = PlatformDialect()
-        self.pool = Pool()
+        self.pool = FakeEndpointPool()
         self.table = LoadTable()
-        self.beliefs = Beliefs()
+        self.beliefs = FakeBeliefs()
         self.entries = [
             EndpointEntry(f"engine-{number}", SERVICE, f"10.0.0.{number}:80", "zone-a", 8, False)
             for number in (1, 2, 3)
         ]
-        self.knowledge = Knowledge(self.entries)
+        self.knowledge = FakeKnowledge(self.entries)
         self.harm = 0.0
         self.guard = CrashGuard(self.loop, self.table)
-        self.line = WaitingLine(self.loop, lambda seconds: seconds)
+        self.wait_queue = WaitQueue(self.loop, lambda seconds: seconds)
         self._numbers = itertools.count()
 
     def place(self, exchange, need):
-        """Place on the next engine that was not tried."""
-        entry = next(each for each in self.entries if each.id not in exchange.tried)
-        first_ms = _LATE_MS if self.harm else _TIMELY_MS
-        return Placement(entry, (), (), first_ms, "test", harm=self.harm, best_ms=10.0)
+        """Return the next engine that was not tried."""
+        entry = next(each for each in self.entries if each.id not in exchange.tried_endpoints)
+        first_event_ms = _LATE_FIRST_EVENT_MS if self.harm else _TIMELY_FIRST_EVENT_MS
+        return Placement(entry, (), (), first_event_ms, "test", harm=self.harm, best_ms=10.0)
 
-    def next_number(self):
+    def next_attempt_number(self):
         """Return the next number."""
         return next(self._numbers)
 
     def may_wait(self, exchange):
-        """Let all wait."""
+        """Allow every request to wait."""
         return True
 
-    def may_repeat(self, service):
-        """Let all repeat."""
+    def consume_retry(self, service):
+        """Allow every retry."""
         return True
 
-    def budget_left(self, service):
-        """Return a full budget."""
+    def retries_left(self, service):
+        """Return a budget that is never exhausted."""
         return 10.0
 
     def load_changed(self):
-        """Tell nobody."""
+        """Ignore the change."""
 
-    def answer_broke(self, attempt, witness):
-        """Check nothing."""
+    def response_interrupted(self, attempt, witness):
+        """Ignore the interruption."""
 
-    def decided(self, event, **values):
-        """Log nothing."""
+    def log_decision(self, event, **values):
+        """Ignore the decision."""
 
-    def ended(self, exchange, outcome, status, detail):
-        """Log nothing."""
+    def exchange_finished(self, exchange, outcome, status, detail):
+        """Ignore the outcome."""
 
 
-def begin(context, patience=10.0):
-    context.host = Host()
-    context.connection = Connection()
-    request = DeclaredRequest("a", b"POST", b"/text/x", HOST, [], patience, None, 50_000, 100)
+def start_exchange(context, timeout=10.0):
+    context.daemon = FakeDaemon()
+    context.connection = FakeCallerConnection()
+    request = DeclaredRequest("a", b"POST", b"/text/x", HOST, [], timeout, None, 50_000, 100)
     streams = route("text", RouteKind.STREAM, resumable=True, objective=1.0, max_attempts=3)
     exchange = Exchange(
-        context.host, context.connection, request, b"", streams, None, context.host.loop.now()
+        context.daemon, context.connection, request, b"", streams, None, context.daemon.loop.now()
     )
     exchange.service = SERVICE
     exchange.start()
     context.exchange = exchange
-    assert len(context.host.pool.calls) == 1
+    assert len(context.daemon.pool.calls) == 1
 
 
-@given("a request whose first endpoint cannot be reached")
+@given("a request whose first endpoint is unreachable")
 def step_unreachable(context):
-    begin(context)
-    context.fail = lambda: context.host.pool.calls[0].owner.broken(Break.NOT_SENT, "no way")
+    start_exchange(context)
+    context.fail = lambda: context.daemon.pool.calls[0].owner.broken(
+        Break.NOT_SENT, "connection refused"
+    )
 
 
-@given("a request of {patience:g} s whose first endpoint cannot be reached")
-def step_unreachable_brief(context, patience):
-    begin(context, patience)
-    context.fail = lambda: context.host.pool.calls[0].owner.broken(Break.NOT_SENT, "no way")
+@given("a request with a timeout of {timeout:g} s whose first endpoint is unreachable")
+def step_unreachable_with_timeout(context, timeout):
+    start_exchange(context, timeout)
+    context.fail = lambda: context.daemon.pool.calls[0].owner.broken(
+        Break.NOT_SENT, "connection refused"
+    )
 
 
-@given("a request whose first endpoint answers that it did not run")
-def step_not_run(context):
-    begin(context)
+@given("a request whose first endpoint replies that it did not execute it")
+def step_not_executed(context):
+    start_exchange(context)
     headers = [(b"X-Attempt-Id", b"a"), (b"X-Not-Executed", b"1")]
-    context.fail = lambda: context.host.pool.calls[0].owner.began(503, headers)
+    context.fail = lambda: context.daemon.pool.calls[0].owner.began(503, headers)
 
 
-@given("every other placement would harm others")
-def step_harm(context):
-    context.host.harm = HARM
+@given("every other placement would delay other requests")
+def step_other_placements_harm(context):
+    context.daemon.harm = HARM_TOKENS
     context.fail()
 
 
-@when("{seconds:d} seconds go by")
-def step_time(context, seconds):
-    context.host.loop.advance(float(seconds))
+@when("{seconds:d} seconds pass")
+def step_seconds_pass(context, seconds):
+    context.daemon.loop.advance(float(seconds))
 
 
-@then("the request is sent once more")
-def step_once_more(context):
-    assert len(context.host.pool.calls) == 2, len(context.host.pool.calls)
+@then("the request is retried exactly once")
+def step_retried_once(context):
+    assert len(context.daemon.pool.calls) == 2, len(context.daemon.pool.calls)
 
 
-@then("the request is not sent again")
-def step_not_again(context):
-    assert len(context.host.pool.calls) == 1, len(context.host.pool.calls)
+@then("the request is not retried")
+def step_not_retried(context):
+    assert len(context.daemon.pool.calls) == 1, len(context.daemon.pool.calls)
 
 
-@then("the caller has one answer")
-def step_one_answer(context):
-    assert len(context.connection.answers) == 1, context.connection.answers
+@then("the caller receives one response")
+def step_one_response(context):
+    assert len(context.connection.statuses) == 1, context.connection.statuses
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -79,7 +79,7 @@
 def without_explanation():
     """Give a silent engine up whatever it has to read."""
     return Variant(
-        replaced=(("brassdrum.gateway.request.silence_watch.explained_silence", lambda *_: None),)
+        replaced=(("brassdrum.gateway.request.silence_watch.stall_extension", lambda *_: None),)
     )
 
 
@@ -88,7 +88,7 @@
     """Let late requests wait as long as their callers may."""
 
     def adjust(daemon):
-        daemon.line.keeps_late = lambda _waiter: True
+        daemon.wait_queue.admits_late = lambda _waiter: True
 
     return Variant(adjust=adjust)
 
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -46,12 +46,12 @@
 from brassdrum.gateway.placing.reservations import Reservations
 from brassdrum.gateway.request.admission import Refusal, admit
 from brassdrum.gateway.request.attempt import Attempt
-from brassdrum.gateway.request.early import EarlyRequest, EarlyRequests, longest_hold
+from brassdrum.gateway.request.early import HeldRequest, HeldRequestQueue, max_hold_seconds
 from brassdrum.gateway.request.exchange import Exchange
 from brassdrum.gateway.request.outcome import Outcome
-from brassdrum.gateway.request.patience import longest_retry
+from brassdrum.gateway.request.patience import max_retry_after
 from brassdrum.gateway.request.retry_budget import SharedRetryBudget
-from brassdrum.gateway.request.waiting import WaitingLine
+from brassdrum.gateway.request.waiting import WaitQueue
 from brassdrum.gateway.stopping import PlannedStop, declared_duration
 from brassdrum.telemetry import log_events
 from brassdrum.telemetry.log_events import LogEvent
@@ -102,14 +102,14 @@
         )
         self._numbers = itertools.count(1)
         self._random = rng or random.Random()
-        self.line = WaitingLine(self.loop, self._jitter)
+        self.wait_queue = WaitQueue(self.loop, self._jitter)
         self._store = store
         self._policy = policies.get(settings.policy)
         self._chooser = Chooser(settings.name, self.table, self._random, self._flush_seconds)
         self._budget_by_service: dict[str, SharedRetryBudget] = {}
         self._connections: set[CallerConnection] = set()
         self._exchanges: set[Exchange] = set()
-        self._early = EarlyRequests(self.loop, self._refuse_early)
+        self._early = HeldRequestQueue(self.loop, self._refuse_early)
         self._state = _CHART.initial
         self._stop: PlannedStop | None = None
         self.guard = CrashGuard(self.loop, self.table)
@@ -236,13 +236,13 @@
         exchange = Exchange(self, connection, request, body, route, verdict.organisation, arrived)
         exchange.service = service
         self._exchanges.add(exchange)
-        self._budget(exchange.service).request(self.loop.now())
+        self._budget(exchange.service).record_request(self.loop.now())
         exchange.start()
         return exchange
 
     def _hold_early(
         self, connection: CallerConnection, head: RequestHead, body: bytes
-    ) -> EarlyRequest | None:
+    ) -> HeldRequest | None:
         """Let a request wait for the first configuration; return None where it may not."""
         try:
             request = self.dialect.read_request(head)
@@ -252,17 +252,17 @@
         early = self._early.hold(connection, head, body, request)
         if early is not None:
             log_events.HELD.write(
-                _logger, request=request.id, seconds=round(longest_hold(request), 2)
+                _logger, request=request.id, seconds=round(max_hold_seconds(request), 2)
             )
         return early
 
-    def _handle_early(self, early: EarlyRequest) -> Exchange | None:
+    def _handle_early(self, early: HeldRequest) -> Exchange | None:
         return self._handle(early.connection, early.head, early.body, early.arrived)
 
-    def _refuse_early(self, early: EarlyRequest, detail: str) -> None:
+    def _refuse_early(self, early: HeldRequest, detail: str) -> None:
         """Ask a caller to come back as late as it does: nobody knows when the store is back."""
         left = early.request.patience - (self.loop.now() - early.arrived)
-        seconds = _LEAVING_RETRY_SECONDS if self.closing() else longest_retry(left)
+        seconds = _LEAVING_RETRY_SECONDS if self.closing() else max_retry_after(left)
         self._refuse(early.connection, Refusal(503, detail, seconds, early.request.id))
 
     def _flush_seconds(self) -> float:
@@ -292,18 +292,18 @@
         """Return where to send a request now."""
         now = self.loop.now()
         usable = self.guard.choices(
-            self.guard.standing(exchange.content, exchange.tried),
+            self.guard.standing(exchange.content_fingerprint, exchange.tried_endpoints),
             self.knowledge.usable(exchange.service),
             self.beliefs.suspect,
         )
         return self._chooser.choose(
             self._policy,
             need,
-            [entry for entry in usable if entry.id not in exchange.tried],
+            [entry for entry in usable if entry.id not in exchange.tried_endpoints],
             self.beliefs.suspect,
             self._engine(exchange.service),
             now,
-            late=now > exchange.times.timely_until,
+            late=now > exchange.wait_deadlines.timely_until,
         )
 
     def may_wait(self, exchange: Exchange) -> bool:
@@ -314,21 +314,21 @@
         duration = declared_duration(exchange.route, exchange.request, engine)
         return self._stop.may_wait(self.loop.now(), duration)
 
-    def next_number(self) -> int:
+    def next_attempt_number(self) -> int:
         """Return a number that no other attempt of this daemon has."""
         return next(self._numbers)
 
-    def may_repeat(self, service: str) -> bool:
+    def consume_retry(self, service: str) -> bool:
         """Take one repeated send from the shared budget, or return False."""
         assert self._peers is not None
-        return self._budget(service).spend(self.loop.now(), self._peers.live)
+        return self._budget(service).try_consume(self.loop.now(), self._peers.live)
 
-    def budget_left(self, service: str) -> float:
+    def retries_left(self, service: str) -> float:
         """Return how many repeats this daemon may still send."""
         assert self._peers is not None
-        return self._budget(service).left(self.loop.now(), self._peers.live)
+        return self._budget(service).remaining(self.loop.now(), self._peers.live)
 
-    def answer_broke(self, attempt: Attempt, lost: LostRequest) -> None:
+    def response_interrupted(self, attempt: Attempt, lost: LostRequest) -> None:
         """Find out whether the endpoint has ended, unless it was about to leave."""
         entry = self.knowledge.endpoints_by_id.get(attempt.endpoint)
         if entry is not None and not entry.draining:
@@ -337,41 +337,45 @@
     def load_changed(self) -> None:
         """Look at the waiting requests, and tell peers soon."""
         assert self._peers is not None
-        self.line.place_freed()
+        self.wait_queue.schedule_review()
         self._peers.changed()
 
-    def decided(self, event: LogEvent, **values: object) -> None:
+    def log_decision(self, event: LogEvent, **values: object) -> None:
         """Log a decision that touches a request."""
         event.write(_logger, **values)
 
-    def ended(self, exchange: Exchange, outcome: Outcome, status: int, detail: str) -> None:
+    def exchange_finished(
+        self, exchange: Exchange, outcome: Outcome, status: int, detail: str
+    ) -> None:
         """Log and count the end of a request."""
         self._exchanges.discard(exchange)
-        report = exchange.report()
+        report = exchange.latency_report()
         self.metrics.ended(exchange, outcome, report)
         values = {
             "request": exchange.request.id,
             "route": exchange.route.name,
             "status": status,
-            "ms": report.ms,
-            "first_ms": report.first_ms,
+            "ms": report.total_ms,
+            "first_ms": report.first_event_ms,
             "prompt": exchange.request.prompt_tokens,
-            "sends": exchange.sends,
+            "sends": exchange.send_count,
             "version": self.knowledge.version,
         }
         if outcome is not Outcome.SERVED:
             log_events.FAILED.write(
                 _logger,
-                content=exchange.content,
+                content=exchange.content_fingerprint,
                 outcome=outcome.name.lower(),
                 detail=detail,
-                story=exchange.story,
+                story=exchange.decisions,
                 **values,
             )
         elif report.late:
-            log_events.LATE.write(_logger, pause_ms=report.pause_ms, story=exchange.story, **values)
+            log_events.LATE.write(
+                _logger, pause_ms=report.longest_pause_ms, story=exchange.decisions, **values
+            )
         else:
-            log_events.SERVED.write(_logger, pause_ms=report.pause_ms, **values)
+            log_events.SERVED.write(_logger, pause_ms=report.longest_pause_ms, **values)
 
     # Inner wiring.
 
@@ -472,7 +476,7 @@
         self.metrics.refused(refusal.status)
         log_events.REFUSED.write(
             _logger,
-            request=refusal.request,
+            request=refusal.request_id,
             status=refusal.status,
             detail=refusal.detail,
             version=self.knowledge.version,
@@ -507,7 +511,7 @@
             return
         if now >= self._stop.ends_at:
             for exchange in list(self._exchanges):
-                exchange.break_off("the grace time of the planned stop is over")
+                exchange.abort("the grace time of the planned stop is over")
             self._finish()
             return
         self.loop.call_later(_STOP_CHECK_SECONDS, self._check_stop)
--- a/src/brassdrum/gateway/request/admission.py
+++ b/src/brassdrum/gateway/request/admission.py
@@ -1,4 +1,4 @@
-"""Judge a caller's request before it is sent anywhere; a pure decision."""
+"""Admission control: check a request before it is sent to an endpoint; no side effects."""
 
 from __future__ import annotations
 
@@ -8,15 +8,14 @@
 from brassdrum.gateway.following.knowledge import Knowledge
 from brassdrum.gateway.model import DeclaredRequest, Dialect, Organisation, RequestHead, Route
 
-__all__ = ["Admitted", "Refusal", "admit"]
+__all__ = ["AdmittedRequest", "Refusal", "admit"]
 
-# A daemon without configuration or endpoints asks callers to come back after this.
-_STARTING_RETRY_SECONDS = 0.3
+_STARTUP_RETRY_AFTER_SECONDS = 0.3
 
 
 @dataclass(frozen=True, slots=True)
-class Admitted:
-    """Hold a request whose route is known; ``organisation`` is None on anonymous routes."""
+class AdmittedRequest:
+    """An admitted request with its route; ``organisation`` is None on anonymous routes."""
 
     request: DeclaredRequest
     route: Route
@@ -25,19 +24,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Hold the final answer to a request that has not run; ``retry_after`` in seconds."""
+    """The response to a request that is not executed; ``retry_after`` is in seconds."""
 
     status: int
     detail: str
     retry_after: float | None = None
-    request: str | None = None
+    request_id: str | None = None
 
 
-def admit(knowledge: Knowledge, dialect: Dialect, head: RequestHead) -> Admitted | Refusal:
-    """Return the route and the organisation of a request, or why it is refused."""
+def admit(knowledge: Knowledge, dialect: Dialect, head: RequestHead) -> AdmittedRequest | Refusal:
+    """Return the request with its route and organisation, or the reason for its refusal."""
     configuration = knowledge.configuration
     if configuration is None:
-        return Refusal(503, "no configuration yet", _STARTING_RETRY_SECONDS)
+        return Refusal(503, "no configuration yet", _STARTUP_RETRY_AFTER_SECONDS)
     try:
         request = dialect.read_request(head)
     except InvalidRequestError as error:
@@ -45,10 +44,10 @@
     path = request.target.split(b"?", 1)[0].decode("latin-1")
     route = knowledge.route(request.host, path)
     if route is None:
-        return Refusal(404, "no route", request=request.id)
+        return Refusal(404, "no route", request_id=request.id)
     if route.anonymous or not configuration.organisations:
-        return Admitted(request, route, None)
+        return AdmittedRequest(request, route, None)
     organisation = knowledge.organisation(request.key)
     if organisation is None:
-        return Refusal(401, "unknown key", request=request.id)
-    return Admitted(request, route, organisation)
+        return Refusal(401, "unknown key", request_id=request.id)
+    return AdmittedRequest(request, route, organisation)
--- a/src/brassdrum/gateway/request/exchange_host.py
+++ b/src/brassdrum/gateway/request/exchange_host.py
@@ -1,4 +1,4 @@
-"""What a request's exchange asks of the daemon that carries it."""
+"""Interface of the daemon that an exchange depends on."""
 
 from __future__ import annotations
 
@@ -9,42 +9,44 @@
 from brassdrum.gateway.guards.crash_guard import CrashGuard
 from brassdrum.gateway.guards.endings import LostRequest
 from brassdrum.gateway.placing.placement import Need, Placement
-from brassdrum.gateway.request.attempt import Attempt, AttemptHost
+from brassdrum.gateway.request.attempt import Attempt, AttemptContext
 from brassdrum.gateway.request.outcome import Outcome
-from brassdrum.gateway.request.waiting import WaitingLine
+from brassdrum.gateway.request.waiting import WaitQueue
 from brassdrum.telemetry.log_events import LogEvent
 
 if TYPE_CHECKING:
     from brassdrum.gateway.request.exchange import Exchange
 
-__all__ = ["ExchangeHost"]
+__all__ = ["ExchangeContext"]
 
 
-class ExchangeHost(AttemptHost, Protocol):
-    """Give an exchange what it shares with all others of this daemon."""
+class ExchangeContext(AttemptContext, Protocol):
+    """State and services of the daemon that all exchanges share."""
 
     knowledge: Knowledge
     beliefs: Beliefs
-    line: WaitingLine
+    wait_queue: WaitQueue
     guard: CrashGuard
 
     def place(self, exchange: Exchange, need: Need) -> Placement | None:
-        """Return where to send a request now."""
+        """Return the best placement for a request now, or None without a usable endpoint."""
 
     def may_wait(self, exchange: Exchange) -> bool:
-        """Return whether a request may wait for calmer engines."""
+        """Return whether a request may wait for a better placement."""
 
-    def may_repeat(self, service: str) -> bool:
-        """Take one repeated send from the shared budget, or return False."""
+    def consume_retry(self, service: str) -> bool:
+        """Take one retry from the shared budget, or return False if it is exhausted."""
 
-    def decided(self, event: LogEvent, **values: object) -> None:
-        """Log a decision that touches a request."""
+    def log_decision(self, event: LogEvent, **values: object) -> None:
+        """Log a decision about a request."""
 
-    def answer_broke(self, attempt: Attempt, lost: LostRequest) -> None:
-        """Learn that an endpoint broke off an answer without saying why."""
+    def response_interrupted(self, attempt: Attempt, lost: LostRequest) -> None:
+        """Handle a response that an endpoint cut off without a reason."""
 
-    def budget_left(self, service: str) -> float:
-        """Return how many repeats this daemon may still send."""
+    def retries_left(self, service: str) -> float:
+        """Return the number of retries that this daemon may still send."""
 
-    def ended(self, exchange: Exchange, outcome: Outcome, status: int, detail: str) -> None:
-        """Learn that a request got its final answer."""
+    def exchange_finished(
+        self, exchange: Exchange, outcome: Outcome, status: int, detail: str
+    ) -> None:
+        """Handle the end of a request."""
--- a/src/brassdrum/gateway/request/patience.py
+++ b/src/brassdrum/gateway/request/patience.py
@@ -1,4 +1,4 @@
-"""Say for how long callers wait, and when a waiting request must be decided; pure decisions."""
+"""Timeouts of callers, and the deadlines of queued requests that follow from them."""
 
 from __future__ import annotations
 
@@ -9,68 +9,72 @@
 from brassdrum.gateway.placing.placement import FULL_WAIT_SHARE, Placement
 
 __all__ = [
-    "WaitTimes",
-    "caller_patience",
-    "longest_retry",
-    "retry_after",
-    "silence_patience",
+    "WaitDeadlines",
+    "caller_stall_timeout",
+    "caller_timeout",
+    "max_retry_after",
+    "retry_after_header",
 ]
 
-# Callers give a stream up when it is silent for the longest of these: the platform's own rule.
-_LEAST_SECONDS = 2.0
-_OBJECTIVES = 4.0
-_PAUSES = 8.0
-# A waiting request counts as timely while this many times its prediction is left: at nine in ten
-# the first event comes within 1.9 to 2.2 times, at half of them within 1.4.
-_PREDICTION_MARGIN = 2.0
-# A refusal names at most this part of the time left, or the caller would not wait for it.
+# The platform's rule: callers abandon a stream that stalls for the longest of these times.
+_MIN_STALL_TIMEOUT_SECONDS = 2.0
+_STALL_OBJECTIVES = 4.0
+_STALL_PAUSES = 8.0
+# Nine in ten first events arrive within about twice the predicted time.
+_PREDICTION_FACTOR = 2.0
+# Callers honour a Retry-After of up to a third of their remaining time.
 _RETRY_AFTER_SHARE = 0.3
 
 
-def silence_patience(route: Route) -> float:
-    """Return the seconds of silence after which a caller gives a stream up."""
-    return max(_LEAST_SECONDS, _OBJECTIVES * route.objective, _PAUSES * route.longest_pause)
+def caller_stall_timeout(route: Route) -> float:
+    """Return the seconds without an event after which a caller abandons a stream."""
+    return max(
+        _MIN_STALL_TIMEOUT_SECONDS,
+        _STALL_OBJECTIVES * route.objective,
+        _STALL_PAUSES * route.longest_pause,
+    )
 
 
-def caller_patience(route: Route, request: DeclaredRequest) -> float:
-    """Return the seconds after which a caller without any event of its answer gives up."""
+def caller_timeout(route: Route, request: DeclaredRequest) -> float:
+    """Return the seconds after which a caller abandons a request without a first event."""
     allowed = min(request.patience, route.timeout)
-    return min(allowed, silence_patience(route)) if route.streams else allowed
+    return min(allowed, caller_stall_timeout(route)) if route.streams else allowed
 
 
-def longest_retry(left: float) -> float:
-    """Return after how many seconds a caller comes back at the latest."""
+def max_retry_after(left: float) -> float:
+    """Return the longest Retry-After, in seconds, that a caller honours."""
     return _RETRY_AFTER_SHARE * max(0.0, left)
 
 
-def retry_after(wanted: float, left: float) -> Headers:
-    """Return the header that tells a caller when to come back; ``left`` is its time, in seconds."""
-    seconds = min(wanted, longest_retry(left))
+def retry_after_header(seconds_wanted: float, left: float) -> Headers:
+    """Return a Retry-After header; ``left`` is the remaining time of the caller, in seconds."""
+    seconds = min(seconds_wanted, max_retry_after(left))
     return [(b"Retry-After", b"%.2f" % max(0.01, math.floor(seconds * 100) / 100))]
 
 
 @dataclass(slots=True)
-class WaitTimes:
-    """Hold when a waiting request becomes late and when it must be decided; seconds.
+class WaitDeadlines:
+    """When a queued request becomes late, and when it has to be sent or refused; in seconds.
 
-    ``work`` is the reading that it asks for. Until a first look at engines both moments are those
-    of its objective.
+    Before the first placement both deadlines equal the objective.
     """
 
     arrived: float
     objective: float
-    patience: float
-    work: float = 0.0
+    caller_timeout: float
+    prefill_seconds: float = 0.0
     timely_until: float = 0.0
-    due: float = 0.0
+    decide_by: float = 0.0
 
     def __post_init__(self) -> None:
-        self.timely_until = self.due = self.arrived + self.objective
+        self.timely_until = self.decide_by = self.arrived + self.objective
 
-    def expect(self, placement: Placement, now: float) -> None:
-        """Take what is predicted for the best endpoints now."""
-        to_come = placement.first_event_ms / 1000 * _PREDICTION_MARGIN
-        self.work = placement.work_ms / 1000
-        self.timely_until = self.due = self.arrived + self.objective - to_come
+    def update(self, placement: Placement, now: float) -> None:
+        """Recompute the deadlines from the best placement now."""
+        first_event_margin = placement.first_event_ms / 1000 * _PREDICTION_FACTOR
+        self.prefill_seconds = placement.work_ms / 1000
+        self.timely_until = self.decide_by = self.arrived + self.objective - first_event_margin
         if now > self.timely_until:
-            self.due = self.arrived + self.patience * FULL_WAIT_SHARE - to_come
+            self.decide_by = (
+                self.arrived + self.caller_timeout * FULL_WAIT_SHARE - first_event_margin
+            )
--- a/src/brassdrum/gateway/request/retry_budget.py
+++ b/src/brassdrum/gateway/request/retry_budget.py
@@ -1,4 +1,4 @@
-"""Keep repeated sends of all daemons within the operator's budget."""
+"""The part of one daemon in the retry budget that all daemons share."""
 
 from __future__ import annotations
 
@@ -6,35 +6,35 @@
 
 __all__ = ["SharedRetryBudget"]
 
-# The part of the allowance that is used; the rest covers daemons that join or count late.
-_SAFE_SHARE = 0.7
+# The rest is a margin for daemons that have just joined or are counted late.
+_USABLE_SHARE = 0.7
 
 
 class SharedRetryBudget:
-    """Count own requests and repeats of one service over a sliding window."""
+    """Count this daemon's requests and retries of one service in a sliding window."""
 
     def __init__(self, ratio: float, slack: float, window: float) -> None:
         self._ratio = ratio
         self._slack = slack
         self._window = window
-        self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._request_times: deque[float] = deque()
+        self._retry_times: deque[float] = deque()
 
-    def request(self, now: float) -> None:
-        """Count a first send."""
-        self._requests.append(now)
+    def record_request(self, now: float) -> None:
+        """Count a request that is sent for the first time."""
+        self._request_times.append(now)
 
-    def left(self, now: float, daemons: int) -> float:
-        """Return how many repeats this daemon may still send in the window."""
-        for times in (self._requests, self._repeats):
+    def remaining(self, now: float, live_daemons: int) -> float:
+        """Return the number of retries that this daemon may still send in the window."""
+        for times in (self._request_times, self._retry_times):
             while times and times[0] <= now - self._window:
                 times.popleft()
-        allowed = self._ratio * len(self._requests) + self._slack / max(1, daemons)
-        return allowed * _SAFE_SHARE - len(self._repeats)
+        allowed = self._ratio * len(self._request_times) + self._slack / max(1, live_daemons)
+        return allowed * _USABLE_SHARE - len(self._retry_times)
 
-    def spend(self, now: float, daemons: int) -> bool:
-        """Count a repeat, or return False when none is left."""
-        if self.left(now, daemons) < 1.0:
+    def try_consume(self, now: float, live_daemons: int) -> bool:
+        """Count a retry, or return False if none is left."""
+        if self.remaining(now, live_daemons) < 1.0:
             return False
-        self._repeats.append(now)
+        self._retry_times.append(now)
         return True
--- a/src/brassdrum/gateway/request/silence_watch.py
+++ b/src/brassdrum/gateway/request/silence_watch.py
@@ -1,4 +1,4 @@
-"""Watch one attempt for a silence that the endpoint's work does not explain."""
+"""Watchdog that detects a stalled attempt."""
 
 from __future__ import annotations
 
@@ -6,56 +6,65 @@
 
 from brassdrum.gateway.model import Route
 from brassdrum.gateway.net.loop import Timer, Timers
-from brassdrum.gateway.request.patience import silence_patience
-from brassdrum.gateway.request.silence import allowed_silence, explained_silence, work_explains
+from brassdrum.gateway.request.patience import caller_stall_timeout
+from brassdrum.gateway.request.silence import (
+    prefill_explains_stall,
+    stall_extension,
+    stall_timeout,
+)
 
-__all__ = ["SilenceOwner", "SilenceWatch"]
+__all__ = ["StallWatchdog", "StallWatchdogOwner"]
 
 
-class SilenceOwner(Protocol):
-    """Say what is known of the attempt that is watched."""
+class StallWatchdogOwner(Protocol):
+    """The exchange whose current attempt is watched."""
 
     route: Route
 
-    def may_replace(self) -> bool:
-        """Return whether the attempt may be given up for another one."""
+    def can_replace_attempt(self) -> bool:
+        """Return whether the attempt may be replaced by another one."""
 
-    def reading_seconds(self) -> float:
-        """Return how long its endpoint has to read."""
+    def queued_prefill_seconds(self) -> float:
+        """Return the seconds of prefill queued at the attempt's endpoint."""
 
-    def fell_silent(self, *, certain: bool) -> None:
-        """Learn that the endpoint is silent; ``certain`` where nothing explains it."""
+    def endpoint_stalled(self, *, certain: bool) -> None:
+        """Handle a stall; ``certain`` means that queued prefill does not explain it."""
 
 
-class SilenceWatch:
-    """Hold the one timer of a request that would send it again."""
+class StallWatchdog:
+    """The timer after which a request is sent to another endpoint."""
 
-    def __init__(self, loop: Timers, owner: SilenceOwner) -> None:
+    def __init__(self, loop: Timers, owner: StallWatchdogOwner) -> None:
         self._loop = loop
         self._owner = owner
-        self._heard_at = loop.now()
+        self._started_at = loop.now()
         self._timer: Timer | None = None
 
-    def begin(self, predicted_ms: float | None) -> None:
-        """Wait from now on; ``predicted_ms`` is the time to the first event, None after it."""
-        self._heard_at = self._loop.now()
-        seconds = allowed_silence(self._owner.route, predicted_ms)
-        self._timer = self._loop.call_later(seconds, self._due)
+    def start(self, predicted_ms: float | None) -> None:
+        """Start the timer.
+
+        ``predicted_ms`` is the predicted time to the first event, None once that has arrived.
+        """
+        self._started_at = self._loop.now()
+        seconds = stall_timeout(self._owner.route, predicted_ms)
+        self._timer = self._loop.call_later(seconds, self._expired)
 
     def stop(self) -> None:
-        """Cancel what would send again: a second attempt beside the first, or after the end."""
+        """Cancel the timer, so that no second attempt starts beside the first or after its end."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _due(self) -> None:
+    def _expired(self) -> None:
         owner = self._owner
-        if not owner.may_replace():
+        if not owner.can_replace_attempt():
             return
-        reading = owner.reading_seconds()
+        prefill_seconds = owner.queued_prefill_seconds()
         if owner.route.streams:
-            silent = self._loop.now() - self._heard_at
-            more = explained_silence(silent, silence_patience(owner.route), reading)
-            if more is not None:
-                self._timer = self._loop.call_later(more, self._due)
+            elapsed = self._loop.now() - self._started_at
+            extension = stall_extension(elapsed, caller_stall_timeout(owner.route), prefill_seconds)
+            if extension is not None:
+                self._timer = self._loop.call_later(extension, self._expired)
                 return
-        owner.fell_silent(certain=owner.route.streams and not work_explains(reading))
+        owner.endpoint_stalled(
+            certain=owner.route.streams and not prefill_explains_stall(prefill_seconds)
+        )
