--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -14,11 +14,11 @@
 )
 from brassdrum.gateway.peering.peer_messages import (
     Acknowledgement,
-    Bundle,
     Digest,
+    DrainNotice,
+    ForwardedDigest,
     Hello,
-    LeavingWord,
-    PeerBelief,
+    PeerStatus,
     Report,
     Sender,
     decode_message,
@@ -350,8 +350,8 @@
         LoadRow(8, EndpointLoad(50.0, 6400, 3200, 1, 2, {250: 1, 1000: 3}, 640)),
         LoadRow(9, EndpointLoad()),
     )
-    leaving = (LeavingWord("c", 0.25), LeavingWord("d", 3.0))
-    belief = PeerBelief(7, "digest", 0.25, 3, (FailingWord("b", 0.5, 1.6),), leaving, ("e",), era=2)
+    leaving = (DrainNotice("c", 0.25), DrainNotice("d", 3.0))
+    belief = PeerStatus(7, "digest", 0.25, 3, (FailingWord("b", 0.5, 1.6),), leaving, ("e",), era=2)
     own, other = DaemonAddress("10.0.0.1", "zone-a", 21), DaemonAddress("10.0.0.2", "zone-b")
     sender = Sender("daemon-1", own, 1764630000000, 6, True)
     acknowledged = (Acknowledgement("10.0.0.2", 9),)
@@ -361,10 +361,10 @@
     messages = (
         Hello(sender, (own, other), (other,), True),
         Report(sender, belief, rows, True),
-        Report(sender, PeerBelief(-1, "", None, 0)),
+        Report(sender, PeerStatus(-1, "", None, 0)),
         digest,
-        Digest(sender, belief, 0, ends=True),
-        Bundle(("10.0.0.2", "10.0.0.3"), encode_message(digest)),
+        Digest(sender, belief, 0, steps_down=True),
+        ForwardedDigest(("10.0.0.2", "10.0.0.3"), encode_message(digest)),
     )
     for message in messages:
         data = encode_message(message)
--- a/features/steps/peer_group_steps.py
+++ b/features/steps/peer_group_steps.py
@@ -13,7 +13,7 @@
 from brassdrum.bench.load.network import SimulatedNetwork
 from brassdrum.gateway.following.suspicion import Suspicions
 from brassdrum.gateway.model import DaemonAddress
-from brassdrum.gateway.peering.peer_messages import PeerBelief
+from brassdrum.gateway.peering.peer_messages import PeerStatus
 from brassdrum.gateway.peering.peers import Peers
 from brassdrum.gateway.peering.spreading import branches
 from brassdrum.gateway.placing.load import LoadTable, Share
@@ -41,14 +41,14 @@
             self.address,
             incarnation,
             self.table,
-            lambda: PeerBelief(
+            lambda: PeerStatus(
                 1, "abc", 0.0, 1, failing=tuple(self.suspicions.words(self.loop.now()))
             ),
             lambda *_: None,
             self._heard_word,
             random.Random(number),
         )
-        self.peers.introduce("10.0.0.0")
+        self.peers.add_seed("10.0.0.0")
 
     def _heard_word(self, _host, belief):
         for word in belief.failing:
@@ -60,13 +60,13 @@
         share = Share(engine, 0.0, MEMORY, 250)
         self.table.start(name, [share], self.loop.now(), 10.0)
         self.requests[name] = engine
-        self.peers.changed()
+        self.peers.load_changed()
 
     def end(self, name):
         """End a request."""
         self.table.end(name, self.loop.now())
         del self.requests[name]
-        self.peers.changed()
+        self.peers.load_changed()
 
 
 class SlowedLoop:
@@ -126,15 +126,15 @@
     def speaker(self, zone):
         """Return the daemon that speaks for a zone."""
         (found,) = [
-            each for each in self.daemons if each.peers.speaks and each.address.zone == zone
+            each for each in self.daemons if each.peers.is_aggregator and each.address.zone == zone
         ]
         return found
 
     def live(self, count):
         """Return whether each daemon knows how many live, and one of each zone speaks."""
-        speaking = Counter(each.address.zone for each in self.daemons if each.peers.speaks)
+        speaking = Counter(each.address.zone for each in self.daemons if each.peers.is_aggregator)
         return (
-            all(each.peers.live == count for each in self.daemons)
+            all(each.peers.live_count == count for each in self.daemons)
             and set(speaking.values()) == {1}
             and len(speaking) == self.zones
         )
@@ -156,8 +156,8 @@
 def step_fleet(context, count, zones):
     context.fleet = Fleet(count, zones)
     assert context.fleet.within(
-        5.0, lambda: all(each.peers.live == count for each in context.fleet.daemons)
-    ), Counter(each.peers.live for each in context.fleet.daemons)
+        5.0, lambda: all(each.peers.live_count == count for each in context.fleet.daemons)
+    ), Counter(each.peers.live_count for each in context.fleet.daemons)
 
 
 @then("each knows that {count:d} live, and one daemon of each zone speaks")
@@ -290,7 +290,7 @@
     fleet = context.fleet
 
     def holds():
-        speaking = [each for each in fleet.daemons if each.peers.speaks]
+        speaking = [each for each in fleet.daemons if each.peers.is_aggregator]
         zones = {each.address.zone for each in speaking if each is not context.speaker}
         return zones == {"zone-0", "zone-1", "zone-2"} and counts_without(fleet, context.speaker)
 
@@ -314,7 +314,7 @@
 def step_right_again(context, seconds, count):
     fleet = context.fleet
     assert fleet.within(seconds, lambda: fleet.right() and fleet.live(count)), Counter(
-        each.peers.live for each in fleet.daemons
+        each.peers.live_count for each in fleet.daemons
     )
 
 
@@ -326,7 +326,7 @@
 @when("a daemon that does not speak avoids an endpoint for 0.8 seconds")
 def step_avoids(context):
     fleet = context.fleet
-    context.avoiding = next(each for each in fleet.daemons if not each.peers.speaks)
+    context.avoiding = next(each for each in fleet.daemons if not each.peers.is_aggregator)
     assert context.avoiding.suspicions.failed("a", fleet.loop.now(), certain=True)
     context.avoiding.begin("r", "b")
 
@@ -352,7 +352,7 @@
 @when("a daemon that does not speak starts again")
 def step_start_again(context):
     fleet = context.fleet
-    daemon = next(each for each in fleet.daemons if not each.peers.speaks)
+    daemon = next(each for each in fleet.daemons if not each.peers.is_aggregator)
     fleet.kill(daemon)
     context.one = fleet.start_again(daemon)
     fleet.loop.advance(0.5)
@@ -375,7 +375,7 @@
     listed = [DaemonAddress(f"10.{n % 3}.9.{n}", f"zone-{n % 3}", 9) for n in range(dead)]
     listed += [each.address for each in fleet.daemons]
     for daemon in fleet.daemons:
-        daemon.peers.learn(listed)
+        daemon.peers.add_addresses(listed)
 
 
 @then(
@@ -384,7 +384,7 @@
 def step_soon_live(context, seconds, count):
     fleet = context.fleet
     assert fleet.within(seconds, lambda: fleet.live(count)), Counter(
-        each.peers.live for each in fleet.daemons
+        each.peers.live_count for each in fleet.daemons
     )
 
 
@@ -428,7 +428,7 @@
         live = [each for each in fleet.daemons if not each.peers.leaving]
         assert fleet.within(seconds, fleet.right), actions
         assert fleet.within(
-            seconds, lambda: all(each.peers.live == len(live) for each in live)
+            seconds, lambda: all(each.peers.live_count == len(live) for each in live)
         ), actions
 
     holds()
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -9,7 +9,7 @@
 
 from brassdrum.gateway.model import DaemonAddress
 from brassdrum.gateway.peering.peer_messages import (
-    PeerBelief,
+    PeerStatus,
     Report,
     Sender,
     decode_message,
@@ -165,9 +165,9 @@
 
 def passed(words):
     """Return words as they come out of a datagram."""
-    belief = PeerBelief(1, "d", 0.0, 1, endings=tuple(words))
+    belief = PeerStatus(1, "d", 0.0, 1, endings=tuple(words))
     sender = Sender("daemon-1", DaemonAddress("10.0.0.1", "zone-a"), 1, 1)
-    return decode_message(encode_message(Report(sender, belief))).belief.endings
+    return decode_message(encode_message(Report(sender, belief))).status.endings
 
 
 @then("any words are the same after encoding, ages to a millisecond")
--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -74,9 +74,9 @@
 class FewPeers:
     """Answer what a follower asks of the other daemons."""
 
-    speaks = True
+    is_aggregator = True
     group_size = 1
-    live = 2
+    live_count = 2
 
     def __init__(self, rank):
         self.rank = rank
@@ -85,7 +85,7 @@
         """Fetch at once."""
         return 0.0
 
-    def learn(self, addresses):
+    def add_addresses(self, addresses):
         """Know the daemons already."""
 
     def announce(self):
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -14,7 +14,7 @@
 from brassdrum.gateway.following.knowledge import Knowledge
 from brassdrum.gateway.model import Bounds
 from brassdrum.gateway.net.loop import EventLoop
-from brassdrum.gateway.peering.peer_messages import PeerBelief
+from brassdrum.gateway.peering.peer_messages import PeerStatus
 from brassdrum.leadership.holder import DutyHolder
 from brassdrum.leadership.lease import Lease
 from features.gateway_world import FakeStore, engine_entry
@@ -120,7 +120,7 @@
     asked = []
     with mock.patch.object(other, "_begin_pull", lambda *each: asked.append(each)):
         other._peers = mock.Mock(fetch_delay=lambda: 0.0)
-        told = PeerBelief(-1, context.knowledge.digest, context.follower.age(), 9)
+        told = PeerStatus(-1, context.knowledge.digest, context.follower.age(), 9)
         other.heard("10.0.0.1", told)
         planned = [timer for _, _, timer in other._loop._timers]
     assert not planned, "it would fetch the older list"
--- a/src/brassdrum/bench/load/daemon.py
+++ b/src/brassdrum/bench/load/daemon.py
@@ -24,7 +24,7 @@
     Sending,
 )
 from brassdrum.gateway.net.upstream import OutgoingRequest
-from brassdrum.gateway.peering.peer_messages import PeerBelief
+from brassdrum.gateway.peering.peer_messages import PeerStatus
 from brassdrum.gateway.peering.peers import Peers
 from brassdrum.gateway.placing.choosing import Chooser
 from brassdrum.gateway.placing.load import LoadTable
@@ -226,7 +226,7 @@
             address,
             1,
             self.table,
-            lambda: PeerBelief(1, "", 0.0, 1),
+            lambda: PeerStatus(1, "", 0.0, 1),
             _ignore_belief,
             _ignore_belief,
             # Its own draws: placements of a seed stay the same whatever daemons tell each other.
@@ -284,8 +284,8 @@
     def load_changed(self) -> None:
         """Look at the line, and tell peers soon."""
         self.line.place_freed()
-        self.peers.changed()
+        self.peers.load_changed()
 
 
-def _ignore_belief(_host: str, _belief: PeerBelief) -> None:
+def _ignore_belief(_host: str, _belief: PeerStatus) -> None:
     """Learn nothing: all daemons of a run know the same."""
--- a/src/brassdrum/bench/load/play.py
+++ b/src/brassdrum/bench/load/play.py
@@ -109,7 +109,7 @@
         address = DaemonAddress(f"10.{number % zones}.0.{number}", f"zone-{number % zones}")
         daemon_rng = random.Random(seed * 100 + number)
         daemon = SimulatedDaemon(f"daemon-{number}", address, fleet, daemon_rng)
-        daemon.peers.introduce(_SEED_HOST)
+        daemon.peers.add_seed(_SEED_HOST)
         adjust(daemon)
         fleet.daemons.append(daemon)
     loop.advance(_ACQUAINTED_SECONDS)
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -150,7 +150,7 @@
             self._random,
         )
         for host in settings.seeds:
-            self._peers.introduce(host)
+            self._peers.add_seed(host)
         self._follower.start(self._peers, self._announce)
         peers = self._peers
         self.guard.start(self._store, self._follower.submit, lambda: peers.rank == 0)
@@ -321,12 +321,12 @@
     def may_repeat(self, service: str) -> bool:
         """Take one repeated send from the shared budget, or return False."""
         assert self._peers is not None
-        return self._budget(service).spend(self.loop.now(), self._peers.live)
+        return self._budget(service).spend(self.loop.now(), self._peers.live_count)
 
     def budget_left(self, service: str) -> float:
         """Return how many repeats this daemon may still send."""
         assert self._peers is not None
-        return self._budget(service).left(self.loop.now(), self._peers.live)
+        return self._budget(service).left(self.loop.now(), self._peers.live_count)
 
     def answer_broke(self, attempt: Attempt, lost: LostRequest) -> None:
         """Find out whether the endpoint has ended, unless it was about to leave."""
@@ -338,7 +338,7 @@
         """Look at the waiting requests, and tell peers soon."""
         assert self._peers is not None
         self.line.place_freed()
-        self._peers.changed()
+        self._peers.load_changed()
 
     def decided(self, event: LogEvent, **values: object) -> None:
         """Log a decision that touches a request."""
@@ -379,7 +379,7 @@
         self.beliefs.endpoint_failed(entry.id, certain=True, detail="its process has ended")
         self.guard.endpoint_ended(entry, witnesses)
         assert self._peers is not None
-        self._peers.changed()
+        self._peers.load_changed()
         self.metrics.endpoint_ended()
         log_events.ENDPOINT_ENDED.write(
             _logger,
--- a/src/brassdrum/gateway/following/beliefs.py
+++ b/src/brassdrum/gateway/following/beliefs.py
@@ -11,7 +11,7 @@
 from brassdrum.gateway.guards.crash_guard import CrashGuard
 from brassdrum.gateway.net.loop import EventLoop
 from brassdrum.gateway.net.upstream import EndpointPool
-from brassdrum.gateway.peering.peer_messages import LeavingWord, PeerBelief
+from brassdrum.gateway.peering.peer_messages import DrainNotice, PeerStatus
 from brassdrum.telemetry import log_events
 
 __all__ = ["Beliefs"]
@@ -72,39 +72,39 @@
             self._pool.forget(entry.address)
             self._log_endpoint(EndpointChange(endpoint, entry.service, "gone"), "address reused")
 
-    def told(self) -> PeerBelief:
+    def told(self) -> PeerStatus:
         """Return what peers are told."""
         now = self._loop.now()
-        return PeerBelief(
+        return PeerStatus(
             self._knowledge.version,
             self._knowledge.digest,
             self.list_age(),
             self._knowledge.reads,
             failing=tuple(self._suspicions.words(now)),
-            leaving=tuple(
-                LeavingWord(endpoint, age)
+            draining=tuple(
+                DrainNotice(endpoint, age)
                 for endpoint, age in self._knowledge.recently_left(now).items()
             ),
-            doubts=tuple(self._suspicions.doubts(now)),
+            recent_failures=tuple(self._suspicions.doubts(now)),
             endings=self._guard.words(),
             era=self._knowledge.era,
         )
 
-    def word(self, host: str, belief: PeerBelief) -> None:
+    def word(self, host: str, belief: PeerStatus) -> None:
         """Take in which endpoints and contents of requests a peer names."""
         now = self._loop.now()
         self._guard.hear(belief.endings)
         for failing in belief.failing:
             self._suspicions.heard(failing, now)
-        for endpoint in belief.doubts:
+        for endpoint in belief.recent_failures:
             if self._suspicions.doubted(endpoint, host, now):
                 self._log_suspect(endpoint, f"it failed here or elsewhere, and at {host}", False)
-        for word in belief.leaving:
+        for word in belief.draining:
             if self._knowledge.leaves(word.endpoint, now - word.age):
                 entry = self._knowledge.endpoints_by_id[word.endpoint]
                 self._log_endpoint(EndpointChange(entry.id, entry.service, "draining"), host)
 
-    def heard(self, host: str, belief: PeerBelief) -> None:
+    def heard(self, host: str, belief: PeerStatus) -> None:
         """Compare a peer's knowledge with own."""
         assert self._follower is not None
         self._follower.heard(host, belief)
--- a/src/brassdrum/gateway/following/follower.py
+++ b/src/brassdrum/gateway/following/follower.py
@@ -21,7 +21,7 @@
     SharedRecord,
 )
 from brassdrum.gateway.net.loop import EventLoop, Timer
-from brassdrum.gateway.peering.peer_messages import PeerBelief
+from brassdrum.gateway.peering.peer_messages import PeerStatus
 from brassdrum.gateway.peering.peers import Peers
 from brassdrum.http_pool import ConnectFailedError, ExchangeFailedError, HttpPool
 from brassdrum.telemetry import log_events
@@ -170,7 +170,7 @@
             return None
         return max(0.0, self._loop.now() - self._knowledge.read_at)
 
-    def heard(self, host: str, belief: PeerBelief) -> None:
+    def heard(self, host: str, belief: PeerStatus) -> None:
         """Compare a peer's knowledge with own; fetch it where it is newer."""
         if belief.age is None:
             return
@@ -219,8 +219,8 @@
         rank = self._peers.rank
         if rank == 0:
             return self._bound * _PACE_SHARE
-        if not self._peers.speaks:
-            later = (_MEMBER_SHARE - _LATEST_SHARE) * rank / self._peers.live
+        if not self._peers.is_aggregator:
+            later = (_MEMBER_SHARE - _LATEST_SHARE) * rank / self._peers.live_count
             return self._bound * (_LATEST_SHARE + later)
         late = 1.0 - math.exp((1 - rank) / _RANKS)
         return self._bound * (_NEXT_SHARE + (_LATEST_SHARE - _NEXT_SHARE) * late)
@@ -353,7 +353,7 @@
                 _ANNOUNCE_SECONDS, lambda: self.submit(self._announce, self._introduce)
             )
             return
-        self._peers.learn(daemons)
+        self._peers.add_addresses(daemons)
 
     def submit(self, work: Callable, done: Callable[[Future], None]) -> None:
         """Run a blocking call in a thread of the store's; ``done`` runs in the loop's thread."""
--- a/src/brassdrum/gateway/peering/group.py
+++ b/src/brassdrum/gateway/peering/group.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from brassdrum.gateway.following.suspicion import DOUBT_SECONDS, FailingWord, words_left
-from brassdrum.gateway.peering.peer_messages import Acknowledgement, PeerBelief, Report, Sender
+from brassdrum.gateway.peering.peer_messages import Acknowledgement, PeerStatus, Report, Sender
 from brassdrum.gateway.placing.load import EndpointLoad, LoadRow
 
 __all__ = ["Group", "Joined"]
@@ -22,7 +22,7 @@
 @dataclass(slots=True)
 class _Member:
     sender: Sender
-    belief: PeerBelief
+    status: PeerStatus
     heard: float
     told: bool = False
     load_by_key: dict[int, EndpointLoad] = field(default_factory=dict)
@@ -59,16 +59,16 @@
             earlier = (known.sender.incarnation, known.sender.sequence)
             if (sender.incarnation, sender.sequence) <= earlier:
                 return None
-        if report.leaves:
+        if report.leaves_group:
             self.remove(host)
             return None
         first = known is None or sender.incarnation > known.sender.incarnation
         if first:
             self.remove(host)
-            known = self._member_by_host[host] = _Member(sender, report.belief, now)
+            known = self._member_by_host[host] = _Member(sender, report.status, now)
         assert known is not None
         known.sender = sender
-        known.belief = report.belief
+        known.status = report.status
         known.heard = now
         known.told = False
         for row in report.rows:
@@ -94,13 +94,15 @@
     def failing(self, now: float) -> list[FailingWord]:
         """Return which endpoints members avoid for what they met."""
         members = self._member_by_host.values()
-        return [w for each in members for w in words_left(each.belief.failing, now - each.heard)]
+        return [w for each in members for w in words_left(each.status.failing, now - each.heard)]
 
-    def doubts(self, now: float) -> set[str]:
+    def recent_failures(self, now: float) -> set[str]:
         """Return the endpoints at which members have just met a failure."""
         members = self._member_by_host.values()
-        fresh = [each.belief.doubts for each in members if now - each.heard < DOUBT_SECONDS]
-        return {endpoint for doubts in fresh for endpoint in doubts}
+        fresh = [
+            each.status.recent_failures for each in members if now - each.heard < DOUBT_SECONDS
+        ]
+        return {endpoint for failures in fresh for endpoint in failures}
 
     def acknowledgements(self, *, every: bool) -> tuple[Acknowledgement, ...]:
         """Return up to which report members are counted, or only of those with newer ones."""
--- a/src/brassdrum/gateway/peering/peer_messages.py
+++ b/src/brassdrum/gateway/peering/peer_messages.py
@@ -14,12 +14,12 @@
 
 __all__ = [
     "Acknowledgement",
-    "Bundle",
     "Digest",
+    "DrainNotice",
+    "ForwardedDigest",
     "Hello",
-    "LeavingWord",
     "Message",
-    "PeerBelief",
+    "PeerStatus",
     "Report",
     "Sender",
     "decode_message",
@@ -36,18 +36,18 @@
 # A bit for each of the 12 ends that are kept of a content.
 _MARK_BYTES = 2
 # Flags of a digest.
-_ROLL, _ENDS, _FLEET = 1, 2, 4
+_LISTS_MEMBERS, _STEPS_DOWN, _COVERS_FLEET = 1, 2, 4
 
 
 class _Kind(IntEnum):
     HELLO = 1
     REPORT = 2
     DIGEST = 3
-    BUNDLE = 4
+    FORWARDED_DIGEST = 4
 
 
 @dataclass(frozen=True, slots=True)
-class LeavingWord:
+class DrainNotice:
     """Say that an endpoint leaves, as it was known ``age`` seconds ago."""
 
     endpoint: str
@@ -55,11 +55,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerBelief:
+class PeerStatus:
     """Hold how new a daemon's knowledge is; age in seconds, None before the first read.
 
     ``reads`` is the number of the read of the store that it rests on, ``era`` the store's.
-    ``doubts`` names endpoints that have just failed a request there, for whatever reason.
+    ``recent_failures`` names endpoints that have just failed a request there, for whatever reason.
     """
 
     version: int
@@ -67,8 +67,8 @@
     age: float | None
     reads: int
     failing: tuple[FailingWord, ...] = ()
-    leaving: tuple[LeavingWord, ...] = ()
-    doubts: tuple[str, ...] = ()
+    draining: tuple[DrainNotice, ...] = ()
+    recent_failures: tuple[str, ...] = ()
     endings: tuple[EndingWord, ...] = ()
     era: int | None = None
 
@@ -92,9 +92,9 @@
     """
 
     sender: Sender
-    known: tuple[DaemonAddress, ...] = ()
-    speakers: tuple[DaemonAddress, ...] = ()
-    asks: bool = False
+    known_daemons: tuple[DaemonAddress, ...] = ()
+    aggregators: tuple[DaemonAddress, ...] = ()
+    wants_reply: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,9 +102,9 @@
     """Tell own work to the daemon that speaks for the group; ``leaves`` ends the membership."""
 
     sender: Sender
-    belief: PeerBelief
+    status: PeerStatus
     rows: tuple[LoadRow, ...] = ()
-    leaves: bool = False
+    leaves_group: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,28 +126,28 @@
     """
 
     sender: Sender
-    belief: PeerBelief
-    daemons: int
-    speakers: int = 1
-    fleet: bool = False
+    status: PeerStatus
+    daemon_count: int
+    aggregator_count: int = 1
+    covers_fleet: bool = False
     rows: tuple[LoadRow, ...] = ()
-    part: int = 0
-    parts: int = 0
-    acknowledged: tuple[Acknowledgement, ...] = ()
-    known: tuple[DaemonAddress, ...] = ()
-    roll: bool = False
-    ends: bool = False
+    partition: int = 0
+    partition_count: int = 0
+    acknowledgements: tuple[Acknowledgement, ...] = ()
+    known_daemons: tuple[DaemonAddress, ...] = ()
+    lists_members: bool = False
+    steps_down: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Bundle:
+class ForwardedDigest:
     """Carry a digest as it was encoded; who gets it sends it on to the hosts named."""
 
     hosts: tuple[str, ...]
     digest: bytes
 
 
-Message = Hello | Report | Digest | Bundle
+Message = Hello | Report | Digest | ForwardedDigest
 
 
 def encode_message(message: Message) -> bytes:
@@ -158,20 +158,20 @@
         case Hello():
             writer.number(_Kind.HELLO, 1)
             _write_sender(writer, message.sender)
-            writer.number(message.asks, 1)
-            _write_addresses(writer, message.known)
-            _write_addresses(writer, message.speakers)
+            writer.number(message.wants_reply, 1)
+            _write_addresses(writer, message.known_daemons)
+            _write_addresses(writer, message.aggregators)
         case Report():
             writer.number(_Kind.REPORT, 1)
             _write_sender(writer, message.sender)
-            writer.number(message.leaves, 1)
-            _write_belief(writer, message.belief)
+            writer.number(message.leaves_group, 1)
+            _write_belief(writer, message.status)
             _write_rows(writer, message.rows)
         case Digest():
             writer.number(_Kind.DIGEST, 1)
             _write_digest(writer, message)
-        case Bundle():
-            writer.number(_Kind.BUNDLE, 1)
+        case ForwardedDigest():
+            writer.number(_Kind.FORWARDED_DIGEST, 1)
             writer.number(len(message.hosts), 1)
             for host in message.hosts:
                 writer.host(host)
@@ -196,47 +196,51 @@
             return Report(sender, _read_belief(reader), _read_rows(reader), leaves)
         case _Kind.DIGEST:
             return _read_digest(reader)
-        case _Kind.BUNDLE:
+        case _Kind.FORWARDED_DIGEST:
             hosts = tuple(reader.host() for _ in range(reader.number(1)))
-            return Bundle(hosts, reader.block())
+            return ForwardedDigest(hosts, reader.block())
 
 
 def _write_digest(writer: FieldWriter, message: Digest) -> None:
     _write_sender(writer, message.sender)
-    flags = _ROLL * message.roll | _ENDS * message.ends | _FLEET * message.fleet
+    flags = (
+        _LISTS_MEMBERS * message.lists_members
+        | _STEPS_DOWN * message.steps_down
+        | _COVERS_FLEET * message.covers_fleet
+    )
     writer.number(flags, 1)
-    writer.number(message.daemons, 2)
-    writer.number(message.speakers, 2)
-    _write_belief(writer, message.belief)
-    writer.number(message.part, 2)
-    writer.number(message.parts, 2)
+    writer.number(message.daemon_count, 2)
+    writer.number(message.aggregator_count, 2)
+    _write_belief(writer, message.status)
+    writer.number(message.partition, 2)
+    writer.number(message.partition_count, 2)
     _write_rows(writer, message.rows)
-    writer.hosts([(each.host, each.sequence) for each in message.acknowledged], 4)
-    _write_addresses(writer, message.known)
+    writer.hosts([(each.host, each.sequence) for each in message.acknowledgements], 4)
+    _write_addresses(writer, message.known_daemons)
 
 
 def _read_digest(reader: FieldReader) -> Digest:
     sender = _read_sender(reader)
     flags = reader.number(1)
-    daemons, speakers = reader.number(2), reader.number(2)
-    belief = _read_belief(reader)
-    part, parts = reader.number(2), reader.number(2)
+    daemon_count, aggregator_count = reader.number(2), reader.number(2)
+    status = _read_belief(reader)
+    partition, partition_count = reader.number(2), reader.number(2)
     rows = _read_rows(reader)
-    acknowledged = tuple(Acknowledgement(*each) for each in reader.hosts(4))
-    known = _read_addresses(reader)
+    acknowledgements = tuple(Acknowledgement(*each) for each in reader.hosts(4))
+    known_daemons = _read_addresses(reader)
     return Digest(
         sender,
-        belief,
-        daemons,
-        speakers,
-        bool(flags & _FLEET),
+        status,
+        daemon_count,
+        aggregator_count,
+        bool(flags & _COVERS_FLEET),
         rows,
-        part,
-        parts,
-        acknowledged,
-        known,
-        bool(flags & _ROLL),
-        bool(flags & _ENDS),
+        partition,
+        partition_count,
+        acknowledgements,
+        known_daemons,
+        bool(flags & _LISTS_MEMBERS),
+        bool(flags & _STEPS_DOWN),
     )
 
 
@@ -273,28 +277,28 @@
     return tuple(addresses)
 
 
-def _write_belief(writer: FieldWriter, belief: PeerBelief) -> None:
+def _write_belief(writer: FieldWriter, status: PeerStatus) -> None:
     # The version before the first configuration is -1.
-    writer.number(belief.version + 1, 6)
-    writer.text(belief.digest)
-    writer.number(_NO_AGE if belief.age is None else round(belief.age * 1000), 4)
-    writer.number(belief.reads, 4)
+    writer.number(status.version + 1, 6)
+    writer.text(status.digest)
+    writer.number(_NO_AGE if status.age is None else round(status.age * 1000), 4)
+    writer.number(status.reads, 4)
     # Eras count from 0 or 1; 0 on the wire is none.
-    writer.number(0 if belief.era is None else belief.era + 1, 4)
-    writer.number(len(belief.failing), 2)
-    for each in belief.failing:
+    writer.number(0 if status.era is None else status.era + 1, 4)
+    writer.number(len(status.failing), 2)
+    for each in status.failing:
         writer.text(each.endpoint)
         writer.number(_age_ms(each.left), _AGE_BYTES)
         writer.number(_age_ms(each.span), _AGE_BYTES)
-    writer.number(len(belief.leaving), 2)
-    for each in belief.leaving:
+    writer.number(len(status.draining), 2)
+    for each in status.draining:
         writer.text(each.endpoint)
         writer.number(_age_ms(each.age), _AGE_BYTES)
-    writer.number(len(belief.doubts), 1)
-    for name in belief.doubts:
+    writer.number(len(status.recent_failures), 1)
+    for name in status.recent_failures:
         writer.text(name)
-    writer.number(len(belief.endings), 1)
-    for word in belief.endings:
+    writer.number(len(status.endings), 1)
+    for word in status.endings:
         _write_ending(writer, word)
 
 
@@ -336,7 +340,7 @@
     return EndingWord(content, ends, None if served == _NEVER else served / 1000)
 
 
-def _read_belief(reader: FieldReader) -> PeerBelief:
+def _read_belief(reader: FieldReader) -> PeerStatus:
     version = reader.number(6) - 1
     digest = reader.text()
     age = reader.number(4)
@@ -348,22 +352,22 @@
         )
         for _ in range(reader.number(2))
     )
-    leaving = tuple(
-        LeavingWord(reader.text(), reader.number(_AGE_BYTES) / 1000)
+    draining = tuple(
+        DrainNotice(reader.text(), reader.number(_AGE_BYTES) / 1000)
         for _ in range(reader.number(2))
     )
-    doubts = tuple(reader.text() for _ in range(reader.number(1)))
+    recent_failures = tuple(reader.text() for _ in range(reader.number(1)))
     endings = tuple(_read_ending(reader) for _ in range(reader.number(1)))
     known_age = None if age == _NO_AGE else age / 1000
     known_era = era - 1 if era else None
-    return PeerBelief(
+    return PeerStatus(
         version,
         digest,
         known_age,
         reads,
         failing=failing,
-        leaving=leaving,
-        doubts=doubts,
+        draining=draining,
+        recent_failures=recent_failures,
         endings=endings,
         era=known_era,
     )
--- a/src/brassdrum/gateway/peering/peers.py
+++ b/src/brassdrum/gateway/peering/peers.py
@@ -21,17 +21,17 @@
 from brassdrum.gateway.peering.group import Group
 from brassdrum.gateway.peering.own_reports import OwnReports
 from brassdrum.gateway.peering.peer_messages import (
-    Bundle,
     Digest,
+    ForwardedDigest,
     Hello,
-    PeerBelief,
+    PeerStatus,
     Report,
     Sender,
     decode_message,
     encode_message,
 )
 from brassdrum.gateway.peering.publishers import Publishers
-from brassdrum.gateway.peering.row_teller import RowTeller, ToldRows
+from brassdrum.gateway.peering.row_publisher import RowTeller, ToldRows
 from brassdrum.gateway.peering.spreading import branches
 from brassdrum.gateway.placing.load import LoadTable
 from brassdrum.telemetry import log_events
@@ -101,9 +101,9 @@
         own: DaemonAddress,
         incarnation: int,
         table: LoadTable,
-        describe: Callable[[], PeerBelief],
-        on_belief: Callable[[str, PeerBelief], None],
-        on_word: Callable[[str, PeerBelief], None],
+        describe: Callable[[], PeerStatus],
+        on_belief: Callable[[str, PeerStatus], None],
+        on_word: Callable[[str, PeerStatus], None],
         rng: random.Random,
     ) -> None:
         self.leaving = False
@@ -140,9 +140,9 @@
         loop.call_later(_SETTLE_SECONDS, self._look_around)
 
     @property
-    def live(self) -> int:
+    def live_count(self) -> int:
         """Return the number of live daemons, this one too."""
-        if not self.speaks and self._heard.daemons:
+        if not self.is_aggregator and self._heard.daemons:
             return self._heard.daemons
         return max(1, self._publishers.daemons + self._group.daemons)
 
@@ -152,14 +152,14 @@
         return min(_LONGEST_FLUSH_SECONDS, _FLUSH_SECONDS * self._spread())
 
     @property
-    def speaks(self) -> bool:
+    def is_aggregator(self) -> bool:
         """Return whether this daemon speaks for itself or a group."""
         return self._speaker == self._own.host
 
     @property
     def rank(self) -> int:
         """Return this daemon's place among the live ones; those that speak come first, by name."""
-        if self.speaks:
+        if self.is_aggregator:
             return self._publishers.before(self._name)
         hosts = [each.host for each in self._directory.addresses(self._own.zone)]
         return self._heard.speakers + sum(1 for host in hosts if host < self._own.host)
@@ -167,32 +167,32 @@
     @property
     def group_size(self) -> int:
         """Return how many daemons have the same speaker, at least 1."""
-        return 1 if self.speaks else 1 + len(self._directory.addresses(self._own.zone))
+        return 1 if self.is_aggregator else 1 + len(self._directory.addresses(self._own.zone))
 
     def fetch_delay(self) -> float:
         """Return after how many seconds to fetch knowledge from the speaker.
 
         A group of 39 that fetches 15 KB each at once would fill a link of 20 Mbit/s for 0.23 s.
         """
-        if self.speaks:
+        if self.is_aggregator:
             return 0.0
         return self._random.uniform(0.0, _FETCH_SECONDS_PER_DAEMON * self.group_size)
 
-    def introduce(self, host: str) -> None:
+    def add_seed(self, host: str) -> None:
         """Greet a host that may run a daemon."""
         if host != self._own.host:
             self._note_lost_host(host)
             self._greeted_until.setdefault(host, self._loop.now() + _GREET_SECONDS)
             self._greet(host)
 
-    def learn(self, addresses: list[DaemonAddress]) -> None:
+    def add_addresses(self, addresses: list[DaemonAddress]) -> None:
         """Take the addresses of daemons that announced themselves."""
         self._directory.learn(addresses, self._loop.now())
         self._choose()
 
-    def changed(self) -> None:
+    def load_changed(self) -> None:
         """Tell what changed, together with what changes in the next moment."""
-        if self.speaks:
+        if self.is_aggregator:
             self._take_own_changes()
             self._plan_publish()
         elif self._speaker is not None:
@@ -201,7 +201,7 @@
     def announce(self) -> None:
         """Tell at once how new this daemon's knowledge is."""
         self._choose()
-        if self.speaks:
+        if self.is_aggregator:
             self._publish()
         else:
             self._report()
@@ -215,10 +215,10 @@
     # Time.
 
     def _spread(self) -> float:
-        return max(1.0, self.live / _DAEMONS_AT_FULL_PACE)
+        return max(1.0, self.live_count / _DAEMONS_AT_FULL_PACE)
 
     def _heartbeat(self) -> float:
-        if not self.speaks:
+        if not self.is_aggregator:
             return _MEMBER_HEARTBEAT_SECONDS
         return _HEARTBEAT_SECONDS if self._grouped else _HEARTBEAT_SECONDS * self._spread()
 
@@ -229,9 +229,9 @@
         self._choose()
         self._greet_again(now)
         self._table.changed |= self._table.reading_keys()
-        if self.speaks:
+        if self.is_aggregator:
             self._take_own_changes()
-            self._publish(roll=True)
+            self._publish(heartbeat=True)
         else:
             self._report()
         self._loop.call_later(self._heartbeat(), self._beat)
@@ -276,7 +276,7 @@
         now = self._loop.now()
         if not self._settled:
             return
-        known = max(self.live, 1 + len(self._directory))
+        known = max(self.live_count, 1 + len(self._directory))
         margin = _GROUPED_MARGIN if self._grouped else 0
         self._grouped = known > _MOST_UNGROUPED - margin
         speaker = self._own.host
@@ -294,24 +294,28 @@
         self._heard = _SpeakerWord(now, now, daemons=self._heard.daemons)
         self._table.unacknowledge()
         self._reports.begin()
-        self._group.counts_own = self.speaks
+        self._group.counts_own = self.is_aggregator
         self._table.changed.update(row.key for row in self._table.own_rows())
         log_events.SPEAKER_CHOSEN.write(
-            _logger, speaker=speaker, before=before, known=len(self._directory), live=self.live
+            _logger,
+            speaker=speaker,
+            before=before,
+            known=len(self._directory),
+            live=self.live_count,
         )
-        if not self.speaks:
+        if not self.is_aggregator:
             self._report()
             return
         if before is not None:
             self._table.forget_others("")
         self._take_own_changes()
-        self._publish(roll=True)
+        self._publish(heartbeat=True)
 
     def _part(self, successor: str | None = None) -> None:
         """Tell those that knew this daemon as speaker or member that it is that no more."""
         if self._reports_to is not None:
-            self._send(self._reports_to, Report(self._sender(), self._belief(), leaves=True))
-        if not self.speaks:
+            self._send(self._reports_to, Report(self._sender(), self._belief(), leaves_group=True))
+        if not self.is_aggregator:
             return
         data = encode_message(self._ended(successor))
         for host in self._other_speakers():
@@ -325,11 +329,11 @@
     def _ended(self, successor: str | None) -> Digest:
         found = None if successor is None else self._directory.address(successor)
         known = () if found is None else (found,)
-        return Digest(self._sender(), self._belief(), 0, known=known, ends=True)
+        return Digest(self._sender(), self._belief(), 0, known_daemons=known, steps_down=True)
 
     @property
     def _reports_to(self) -> str | None:
-        return None if self.speaks else self._speaker
+        return None if self.is_aggregator else self._speaker
 
     def _check_speaker(self, now: float) -> None:
         speaker = self._reports_to
@@ -370,40 +374,42 @@
         rows = self._reports.rows(changed, sender.sequence)
         self._send(speaker, Report(sender, self._belief(), rows))
 
-    def _publish(self, *, roll: bool = False) -> None:
+    def _publish(self, *, heartbeat: bool = False) -> None:
         """Tell the other speakers what changed here, and the members what changed anywhere.
 
-        With ``roll`` it is a sign of life: it names all members, and goes to strangers too.
+        With ``heartbeat`` it is a sign of life: it names all members, and goes to strangers too.
         """
         if self._publish_timer is not None:
             self._publish_timer.cancel()
             self._publish_timer = None
-        if not self.speaks:
+        if not self.is_aggregator:
             return
-        self._rolls += roll
-        own = self._digest(self._to_groups.tell(part=roll or self._grouped), roll=roll)
+        self._rolls += heartbeat
+        own = self._digest(
+            self._to_groups.tell(part=heartbeat or self._grouped), lists_members=heartbeat
+        )
         data = encode_message(own)
-        for host in [*self._other_speakers(), *(self._strangers() if roll else ())]:
+        for host in [*self._other_speakers(), *(self._strangers() if heartbeat else ())]:
             self._send_bytes(host, data)
         told, self._table.told = self._table.told, set()
         self._to_members.changed(told)
         if self._group.hosts:
             rows = self._to_members.tell(part=True)
-            self._pass_on(encode_message(self._digest(rows, roll=roll, fleet=True)))
+            self._pass_on(encode_message(self._digest(rows, lists_members=heartbeat, fleet=True)))
 
-    def _digest(self, told: ToldRows, *, roll: bool, fleet: bool = False) -> Digest:
+    def _digest(self, told: ToldRows, *, lists_members: bool, fleet: bool = False) -> Digest:
         return Digest(
             self._sender(),
             self._belief(fleet=fleet),
-            self.live if fleet else self._group.daemons,
+            self.live_count if fleet else self._group.daemons,
             1 + self._publishers.live(),
             fleet,
             told.rows,
             told.part,
             told.parts,
-            self._group.acknowledgements(every=roll) if fleet else (),
-            self._acquaintances() if roll and self._names_others() else (),
-            roll=roll,
+            self._group.acknowledgements(every=lists_members) if fleet else (),
+            self._acquaintances() if lists_members and self._names_others() else (),
+            lists_members=lists_members,
         )
 
     def _names_others(self) -> bool:
@@ -435,7 +441,7 @@
 
     def _pass_on(self, digest: bytes) -> None:
         for branch in branches(self._group.hosts, self._random):
-            self._send(branch.host, Bundle(branch.onward, digest))
+            self._send(branch.host, ForwardedDigest(branch.onward, digest))
 
     def _greet_again(self, now: float) -> None:
         """Greet first addresses until they answer, and some of those that fell silent."""
@@ -444,36 +450,38 @@
                 del self._greeted_until[host]
                 continue
             self._greet(host)
-        if self.speaks:
+        if self.is_aggregator:
             count = min(_GREETED_PER_HEARTBEAT, len(self._lost_hosts))
             for host in self._random.sample(list(self._lost_hosts), count):
                 self._greet(host)
 
     def _greet(self, host: str) -> None:
-        self._send(host, Hello(self._sender(), asks=True))
+        self._send(host, Hello(self._sender(), wants_reply=True))
 
     def _sender(self) -> Sender:
         self._sequence += 1
         return Sender(self._name, self._own, self._incarnation, self._sequence, self.leaving)
 
-    def _belief(self, *, fleet: bool = False) -> PeerBelief:
+    def _belief(self, *, fleet: bool = False) -> PeerStatus:
         """Return what this daemon and its group believe; with ``fleet`` what all groups do."""
-        belief = self._describe()
+        status = self._describe()
         now = self._loop.now()
         others = self._publishers.failing(now) if fleet else []
-        failing = longest_words([*belief.failing, *self._group.failing(now), *others])
+        failing = longest_words([*status.failing, *self._group.failing(now), *others])
         return replace(
-            belief,
+            status,
             failing=failing[:_MOST_NAMED],
-            # Members would hear their own doubts as another daemon's.
-            doubts=() if fleet else self._doubts(belief)[:_MOST_NAMED],
-            leaving=belief.leaving[:_MOST_NAMED],
+            # Members would hear their own recent_failures as another daemon's.
+            recent_failures=() if fleet else self._doubts(status)[:_MOST_NAMED],
+            draining=status.draining[:_MOST_NAMED],
         )
 
-    def _doubts(self, belief: PeerBelief) -> tuple[str, ...]:
-        return tuple(sorted({*belief.doubts, *self._group.doubts(self._loop.now())}))
+    def _doubts(self, status: PeerStatus) -> tuple[str, ...]:
+        return tuple(
+            sorted({*status.recent_failures, *self._group.recent_failures(self._loop.now())})
+        )
 
-    def _send(self, host: str, message: Hello | Report | Digest | Bundle) -> None:
+    def _send(self, host: str, message: Hello | Report | Digest | ForwardedDigest) -> None:
         self._send_bytes(host, encode_message(message))
 
     def _send_bytes(self, host: str, data: bytes) -> None:
@@ -493,7 +501,7 @@
                     self._take_report(message)
                 case Digest():
                     self._take_digest(message, data, direct=True)
-                case Bundle():
+                case ForwardedDigest():
                     self._take_bundle(message)
         except ValueError as error:
             _logger.warning("peer message dropped", extra={"error": str(error), "from": source})
@@ -504,16 +512,16 @@
         if address.host == self._own.host:
             return
         first = self._directory.heard(address, now, leaving=hello.sender.leaving)
-        self._directory.learn(hello.known, now)
-        self._directory.vouched(hello.speakers, now)
+        self._directory.learn(hello.known_daemons, now)
+        self._directory.vouched(hello.aggregators, now)
         self._note_found(address.host)
-        if hello.asks:
+        if hello.wants_reply:
             known = tuple(self._directory.addresses(self._named_zone(address.zone)))
             self._send(address.host, Hello(self._sender(), known, self._speakers()))
-        elif any(each.zone == self._own.zone for each in hello.speakers):
+        elif any(each.zone == self._own.zone for each in hello.aggregators):
             self._settled = True
         self._choose()
-        if self.speaks and not self._grouped and first:
+        if self.is_aggregator and not self._grouped and first:
             self._tell_all(address.host)
 
     def _named_zone(self, zone: str) -> str | None:
@@ -527,42 +535,42 @@
     def _speakers(self) -> tuple[DaemonAddress, ...]:
         found = (self._directory.address(host) for host in self._publishers.hosts)
         known = tuple(each for each in found if each is not None)
-        return (*known, self._own) if self.speaks else known
+        return (*known, self._own) if self.is_aggregator else known
 
     def _tell_all(self, host: str, *, fleet: bool = False) -> None:
         """Tell a member, or another speaker, all at once that it does not know yet."""
         teller = self._to_members if fleet else self._to_groups
-        self._send(host, self._digest(teller.tell_all(), roll=True, fleet=fleet))
+        self._send(host, self._digest(teller.tell_all(), lists_members=True, fleet=fleet))
 
     def _take_report(self, report: Report) -> None:
         now = self._loop.now()
         sender = report.sender
         host = sender.address.host
         self._directory.heard(sender.address, now, leaving=sender.leaving)
-        self._on_word(host, report.belief)
-        if report.leaves and sender.leaving:
+        self._on_word(host, report.status)
+        if report.leaves_group and sender.leaving:
             self._directory.forget(host)
-        if not self.speaks:
-            if self._speaker is not None and not report.leaves:
+        if not self.is_aggregator:
+            if self._speaker is not None and not report.leaves_group:
                 self._send(host, self._ended(self._speaker))
             return
         joined = self._group.take(report, now)
         if joined is None:
-            if report.leaves:
+            if report.leaves_group:
                 self._table.forget(sender.name)
             return
         if joined.first:
             self._table.forget(sender.name)
             log_events.PEER_FOUND.write(_logger, peer=sender.name, host=host)
         self._table.merge(sender.name, report.rows, now, sender.sequence)
-        self._on_belief(host, report.belief)
+        self._on_belief(host, report.status)
         if joined.first:
             self._tell_all(host, fleet=True)
         self._plan_publish()
 
-    def _take_bundle(self, bundle: Bundle) -> None:
+    def _take_bundle(self, bundle: ForwardedDigest) -> None:
         if bundle.hosts:
-            data = encode_message(Bundle((), bundle.digest))
+            data = encode_message(ForwardedDigest((), bundle.digest))
             for host in bundle.hosts:
                 self._send_bytes(host, data)
         digest = decode_message(bundle.digest)
@@ -577,15 +585,15 @@
             return
         first = self._directory.heard(sender.address, now, leaving=sender.leaving)
         self._note_found(host)
-        if digest.ends:
+        if digest.steps_down:
             self._take_end(digest, now)
-        elif digest.fleet:
+        elif digest.covers_fleet:
             self._take_fleet_digest(digest, now)
-        elif self.speaks:
+        elif self.is_aggregator:
             self._take_group_digest(digest, now)
         elif direct and self._speaker is not None and host != self._speaker:
             # Another group looks for the one of this zone.
-            self._send(self._speaker, Bundle((), data))
+            self._send(self._speaker, ForwardedDigest((), data))
         if sender.leaving or first:
             self._choose()
 
@@ -593,8 +601,8 @@
         """Take that a daemon speaks no more, and who does in its place."""
         sender = digest.sender
         host = sender.address.host
-        self._directory.vouched(digest.known, now)
-        if self.speaks and self._publishers.forget(host) is not None:
+        self._directory.vouched(digest.known_daemons, now)
+        if self.is_aggregator and self._publishers.forget(host) is not None:
             self._table.forget(sender.name)
         if sender.leaving:
             self._directory.forget(host)
@@ -613,10 +621,12 @@
             self._table.forget(sender.name)
             log_events.PEER_FOUND.write(_logger, peer=sender.name, host=host)
         self._merge(digest, now)
-        self._on_word(host, digest.belief)
-        self._on_belief(host, digest.belief)
+        self._on_word(host, digest.status)
+        self._on_belief(host, digest.status)
         spoken_for = {*self._publishers.zones(), self._own.zone} if self._grouped else set()
-        self._directory.learn([each for each in digest.known if each.zone not in spoken_for], now)
+        self._directory.learn(
+            [each for each in digest.known_daemons if each.zone not in spoken_for], now
+        )
         if taken.first:
             self._tell_all(host)
         if self._group.hosts:
@@ -632,25 +642,25 @@
         self._table.forget_others(sender.name)
         word.heard_at = now
         word.number = number
-        word.daemons = digest.daemons
-        word.speakers = digest.speakers
-        hosts = [each.host for each in digest.acknowledged]
-        if digest.roll:
-            self._directory.learn(digest.known, now)
+        word.daemons = digest.daemon_count
+        word.speakers = digest.aggregator_count
+        hosts = [each.host for each in digest.acknowledgements]
+        if digest.lists_members:
+            self._directory.learn(digest.known_daemons, now)
             self._directory.listed(hosts, now)
-            far = [each.host for each in digest.known if each.zone != self._own.zone]
+            far = [each.host for each in digest.known_daemons if each.zone != self._own.zone]
             self._directory.listed(far, now)
         fallen = None
-        for each in digest.acknowledged:
+        for each in digest.acknowledgements:
             if each.host == self._own.host:
                 word.listed_at = now
                 counted = self._reports.acknowledge(each.sequence)
                 fallen = self._table.acknowledge(counted)
         self._merge(digest, now, fallen)
-        if digest.roll and self._own.host not in hosts:
+        if digest.lists_members and self._own.host not in hosts:
             self._begin_reports()
-        self._on_word(sender.address.host, digest.belief)
-        self._on_belief(sender.address.host, digest.belief)
+        self._on_word(sender.address.host, digest.status)
+        self._on_belief(sender.address.host, digest.status)
 
     def _begin_reports(self) -> None:
         """Report all again: the speaker does not know this daemon, or has started again."""
@@ -662,9 +672,11 @@
     def _merge(self, digest: Digest, now: float, fallen: dict[int, int] | None = None) -> None:
         sender = digest.sender
         self._table.merge(sender.name, digest.rows, now, sender.sequence, fallen)
-        if digest.parts:
+        if digest.partition_count:
             listed = {row.key for row in digest.rows}
-            self._table.keep_listed(sender.name, listed, digest.part, digest.parts, sender.sequence)
+            self._table.keep_listed(
+                sender.name, listed, digest.partition, digest.partition_count, sender.sequence
+            )
 
 
 def _note_lost(sender: Sender) -> None:
--- a/src/brassdrum/gateway/peering/publishers.py
+++ b/src/brassdrum/gateway/peering/publishers.py
@@ -53,7 +53,7 @@
                 return None
         began = known is not None and sender.incarnation > known.sender.incarnation
         self._publisher_by_host[host] = _Publisher(
-            sender, digest.daemons, digest.belief.failing, now
+            sender, digest.daemon_count, digest.status.failing, now
         )
         return Taken(known is None, began)
 
