--- a/features/steps/peer_group_steps.py
+++ b/features/steps/peer_group_steps.py
@@ -13,9 +13,9 @@
 from brassdrum.bench.load.network import SimulatedNetwork
 from brassdrum.gateway.following.suspicion import Suspicions
 from brassdrum.gateway.model import DaemonAddress
+from brassdrum.gateway.peering.fanout import fanout_branches
 from brassdrum.gateway.peering.peer_messages import PeerStatus
 from brassdrum.gateway.peering.peers import Peers
-from brassdrum.gateway.peering.spreading import branches
 from brassdrum.gateway.placing.load import LoadTable, Share
 
 ENGINES = 20
@@ -462,8 +462,8 @@
     names = [f"10.0.0.{number}" for number in range(hosts)]
     rng = random.Random(1)
     for _ in range(50):
-        found = list(branches(names, rng))
-        reached = [each.host for each in found] + [h for each in found for h in each.onward]
+        found = list(fanout_branches(names, rng))
+        reached = [each.host for each in found] + [h for each in found for h in each.forward_to]
         assert sorted(reached) == sorted(names)
         assert len(found) <= most
-        assert all(len(each.onward) <= most for each in found)
+        assert all(len(each.forward_to) <= most for each in found)
--- a/src/brassdrum/gateway/peering/publishers.py
+++ b/src/brassdrum/gateway/peering/aggregators.py
@@ -7,88 +7,90 @@
 from brassdrum.gateway.following.suspicion import FailingWord, words_left
 from brassdrum.gateway.peering.peer_messages import Digest, Sender
 
-__all__ = ["Publishers", "Taken"]
+__all__ = ["Aggregators", "AppliedDigest"]
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class AppliedDigest:
     """Say what a digest is: ``first`` of its publisher, or of an incarnation that ``began``."""
 
     first: bool
-    began: bool
+    restarted: bool
 
 
 @dataclass(slots=True)
-class _Publisher:
+class _Aggregator:
     sender: Sender
-    daemons: int
+    daemon_count: int
     failing: tuple[FailingWord, ...]
-    heard: float
+    heard_at: float
 
 
-class Publishers:
+class Aggregators:
     """Order digests by publisher; earlier incarnations and overtaken ones count no more."""
 
     def __init__(self) -> None:
-        self._publisher_by_host: dict[str, _Publisher] = {}
+        self._aggregator_by_host: dict[str, _Aggregator] = {}
 
     @property
     def hosts(self) -> list[str]:
         """Return the hosts of live publishers."""
-        return list(self._publisher_by_host)
+        return list(self._aggregator_by_host)
 
     @property
-    def daemons(self) -> int:
+    def daemon_count(self) -> int:
         """Return how many live daemons all groups together have."""
-        return sum(each.daemons for each in self._publisher_by_host.values())
+        return sum(each.daemon_count for each in self._aggregator_by_host.values())
 
-    def take(self, digest: Digest, now: float) -> Taken | None:
+    def apply_digest(self, digest: Digest, now: float) -> AppliedDigest | None:
         """Note a digest; return None for one that is no news."""
         sender = digest.sender
         host = sender.address.host
-        known = self._publisher_by_host.get(host)
+        known = self._aggregator_by_host.get(host)
         if known is not None:
             earlier = (known.sender.incarnation, known.sender.sequence)
             if (sender.incarnation, sender.sequence) <= earlier:
                 return None
         began = known is not None and sender.incarnation > known.sender.incarnation
-        self._publisher_by_host[host] = _Publisher(
+        self._aggregator_by_host[host] = _Aggregator(
             sender, digest.daemon_count, digest.status.failing, now
         )
-        return Taken(known is None, began)
+        return AppliedDigest(known is None, began)
 
     def failing(self, now: float) -> list[FailingWord]:
         """Return which endpoints the daemons of other groups avoid for what they met."""
-        others = self._publisher_by_host.values()
-        return [word for each in others for word in words_left(each.failing, now - each.heard)]
+        others = self._aggregator_by_host.values()
+        return [word for each in others for word in words_left(each.failing, now - each.heard_at)]
 
     def name(self, host: str) -> str | None:
         """Return the name of the publisher on a host."""
-        known = self._publisher_by_host.get(host)
+        known = self._aggregator_by_host.get(host)
         return None if known is None else known.sender.name
 
     def zones(self) -> set[str]:
         """Return the zones that a publisher speaks for."""
-        return {each.sender.address.zone for each in self._publisher_by_host.values()}
+        return {each.sender.address.zone for each in self._aggregator_by_host.values()}
 
-    def before(self, name: str) -> int:
+    def count_before(self, name: str) -> int:
         """Return how many live publishers come before a daemon by name."""
         return sum(
             1
-            for each in self._publisher_by_host.values()
+            for each in self._aggregator_by_host.values()
             if each.sender.name < name and not each.sender.leaving
         )
 
-    def live(self) -> int:
+    def live_count(self) -> int:
         """Return the number of publishers that do not leave."""
-        return sum(1 for each in self._publisher_by_host.values() if not each.sender.leaving)
+        return sum(1 for each in self._aggregator_by_host.values() if not each.sender.leaving)
 
-    def forget(self, host: str) -> Sender | None:
+    def remove(self, host: str) -> Sender | None:
         """Drop a publisher and return who it was."""
-        known = self._publisher_by_host.pop(host, None)
+        known = self._aggregator_by_host.pop(host, None)
         return None if known is None else known.sender
 
-    def drop_silent(self, now: float, silence: float) -> list[Sender]:
+    def expire(self, now: float, silence: float) -> list[Sender]:
         """Drop and return publishers that were silent for a number of seconds."""
-        silent = [h for h, each in self._publisher_by_host.items() if now - each.heard > silence]
-        return [self._publisher_by_host.pop(host).sender for host in silent]
+        silent = [
+            h for h, each in self._aggregator_by_host.items() if now - each.heard_at > silence
+        ]
+        return [self._aggregator_by_host.pop(host).sender for host in silent]
--- a/src/brassdrum/gateway/peering/directory.py
+++ b/src/brassdrum/gateway/peering/directory.py
@@ -8,78 +8,80 @@
 
 from brassdrum.gateway.model import DaemonAddress
 
-__all__ = ["Directory"]
+__all__ = ["PeerDirectory"]
 
 # An address without a sign of life is kept for this long: a daemon starts within a second or two.
-_INTRODUCE_SECONDS = 20.0
+_UNHEARD_TTL_SECONDS = 20.0
 # Who was heard, or is on the roll of its group, is kept for this long after the last time: as long
 # as a group keeps a silent member.
-_HEARD_SECONDS = 4.0
+_HEARD_TTL_SECONDS = 4.0
 # A daemon that was chosen and stayed silent, or does not hear this one, is left for this long.
-_DISTRUST_SECONDS = 10.0
+_EXCLUSION_SECONDS = 10.0
 
 
 @dataclass(slots=True)
 class _Entry:
     address: DaemonAddress
-    until: float
+    expires_at: float
     heard: bool = False
     leaving: bool = False
-    distrusted_until: float = 0.0
+    excluded_until: float = 0.0
 
 
-class Directory:
+class PeerDirectory:
     """Keep the daemons that may live; other zones are left to their own ones."""
 
     def __init__(self, own: DaemonAddress) -> None:
         self.own = own
         self._entry_by_host: dict[str, _Entry] = {}
 
-    def learn(self, addresses: Iterable[DaemonAddress], now: float) -> None:
+    def add(self, addresses: Iterable[DaemonAddress], now: float) -> None:
         """Take addresses that others name."""
         for address in addresses:
             if address.host == self.own.host or address.host in self._entry_by_host:
                 continue
-            self._entry_by_host[address.host] = _Entry(address, now + _INTRODUCE_SECONDS)
+            self._entry_by_host[address.host] = _Entry(address, now + _UNHEARD_TTL_SECONDS)
 
-    def vouched(self, addresses: Iterable[DaemonAddress], now: float) -> None:
+    def add_live(self, addresses: Iterable[DaemonAddress], now: float) -> None:
         """Take addresses of daemons that another one has just heard."""
-        self.learn(addresses, now)
-        self.listed((each.host for each in addresses), now)
+        self.add(addresses, now)
+        self.mark_listed((each.host for each in addresses), now)
 
-    def heard(self, address: DaemonAddress, now: float, *, leaving: bool = False) -> bool:
+    def mark_heard(self, address: DaemonAddress, now: float, *, leaving: bool = False) -> bool:
         """Note a sign of life of a daemon; return whether it is the first one."""
         if address.host == self.own.host:
             return False
         entry = self._entry_by_host.get(address.host)
         first = entry is None or not entry.heard
-        distrusted = 0.0 if entry is None else entry.distrusted_until
-        until = now + _HEARD_SECONDS
-        self._entry_by_host[address.host] = _Entry(address, until, True, leaving, distrusted)
+        excluded_until = 0.0 if entry is None else entry.excluded_until
+        expires_at = now + _HEARD_TTL_SECONDS
+        self._entry_by_host[address.host] = _Entry(
+            address, expires_at, True, leaving, excluded_until
+        )
         return first
 
-    def listed(self, hosts: Iterable[str], now: float) -> None:
+    def mark_listed(self, hosts: Iterable[str], now: float) -> None:
         """Note that another daemon has heard of hosts lately, as on the roll of a group."""
         for host in hosts:
             entry = self._entry_by_host.get(host)
             if entry is None:
                 continue
             entry.heard = True
-            entry.until = max(entry.until, now + _HEARD_SECONDS)
+            entry.expires_at = max(entry.expires_at, now + _HEARD_TTL_SECONDS)
 
-    def distrust(self, host: str, now: float) -> None:
+    def exclude(self, host: str, now: float) -> None:
         """Do not choose a daemon that stays silent."""
         entry = self._entry_by_host.get(host)
         if entry is not None:
-            entry.distrusted_until = now + _DISTRUST_SECONDS
+            entry.excluded_until = now + _EXCLUSION_SECONDS
 
-    def forget(self, host: str) -> None:
+    def remove(self, host: str) -> None:
         """Drop a daemon that has ended."""
         self._entry_by_host.pop(host, None)
 
-    def drop_silent(self, now: float) -> list[DaemonAddress]:
+    def expire(self, now: float) -> list[DaemonAddress]:
         """Drop and return daemons that gave no sign of life for too long."""
-        silent = [host for host, entry in self._entry_by_host.items() if now > entry.until]
+        silent = [host for host, entry in self._entry_by_host.items() if now > entry.expires_at]
         return [self._entry_by_host.pop(host).address for host in silent]
 
     def address(self, host: str) -> DaemonAddress | None:
@@ -96,7 +98,7 @@
         """Return the zones of other daemons."""
         return {entry.address.zone for entry in self._entry_by_host.values()}
 
-    def speakers(self, zone: str, now: float, *, own: bool) -> list[DaemonAddress]:
+    def candidates(self, zone: str, now: float, *, own: bool) -> list[DaemonAddress]:
         """Return who may speak for a zone, the one to choose first.
 
         All daemons that know the same others choose the same one: the one that can carry most, by
@@ -109,23 +111,23 @@
             if entry.address.zone == zone
             and entry.heard
             and not entry.leaving
-            and now >= entry.distrusted_until
+            and now >= entry.excluded_until
         ]
         if own and zone == self.own.zone:
             candidates.append(self.own)
-        return sorted(candidates, key=_preference, reverse=True)
+        return sorted(candidates, key=_candidate_order, reverse=True)
 
-    def unheard(self, zone: str) -> list[str]:
+    def unheard_hosts(self, zone: str) -> list[str]:
         """Return the hosts of a zone that nobody heard yet, the likeliest speakers first."""
         entries = self._entry_by_host.values()
         found = [e.address for e in entries if e.address.zone == zone and not e.heard]
-        return [each.host for each in sorted(found, key=_preference, reverse=True)]
+        return [each.host for each in sorted(found, key=_candidate_order, reverse=True)]
 
     def __len__(self) -> int:
         """Return the number of other daemons."""
         return len(self._entry_by_host)
 
 
-def _preference(address: DaemonAddress) -> tuple[int, int, str]:
-    mixed = zlib.crc32(f"{address.zone} {address.host}".encode())
-    return address.capacity, mixed, address.host
+def _candidate_order(address: DaemonAddress) -> tuple[int, int, str]:
+    tie_breaker = zlib.crc32(f"{address.zone} {address.host}".encode())
+    return address.capacity, tie_breaker, address.host
--- a/src/brassdrum/gateway/peering/spreading.py
+++ b/src/brassdrum/gateway/peering/fanout.py
@@ -7,31 +7,31 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-__all__ = ["Branch", "branches"]
+__all__ = ["FanoutBranch", "fanout_branches"]
 
 # Groups of up to this many other daemons are told directly.
-_DIRECT_HOSTS = 6
+_MAX_DIRECT_HOSTS = 6
 
 
 @dataclass(frozen=True, slots=True)
-class Branch:
+class FanoutBranch:
     """Name a host to send to, and those that it sends on to."""
 
     host: str
-    onward: tuple[str, ...] = ()
+    forward_to: tuple[str, ...] = ()
 
 
-def branches(hosts: Sequence[str], rng: random.Random) -> Iterator[Branch]:
+def fanout_branches(hosts: Sequence[str], rng: random.Random) -> Iterator[FanoutBranch]:
     """Return whom to send to, so that each host gets one copy and nobody sends many.
 
     With 38 hosts the sender and each branch send 6 or 7 copies in place of 38. Branches are drawn
     anew each time: one that is dead costs its hosts a single message.
     """
-    if len(hosts) <= _DIRECT_HOSTS:
-        yield from (Branch(host) for host in hosts)
+    if len(hosts) <= _MAX_DIRECT_HOSTS:
+        yield from (FanoutBranch(host) for host in hosts)
         return
-    mixed = rng.sample(hosts, len(hosts))
-    width = math.ceil(math.sqrt(len(mixed)))
+    shuffled = rng.sample(hosts, len(hosts))
+    width = math.ceil(math.sqrt(len(shuffled)))
     for start in range(width):
-        first, *onward = mixed[start::width]
-        yield Branch(first, tuple(onward))
+        first, *onward = shuffled[start::width]
+        yield FanoutBranch(first, tuple(onward))
--- a/src/brassdrum/gateway/peering/group.py
+++ b/src/brassdrum/gateway/peering/group.py
@@ -9,11 +9,11 @@
 from brassdrum.gateway.peering.peer_messages import Acknowledgement, PeerStatus, Report, Sender
 from brassdrum.gateway.placing.load import EndpointLoad, LoadRow
 
-__all__ = ["Group", "Joined"]
+__all__ = ["AppliedReport", "Group"]
 
 
 @dataclass(frozen=True, slots=True)
-class Joined:
+class AppliedReport:
     """Say whether a report is the first of its member."""
 
     first: bool
@@ -23,8 +23,8 @@
 class _Member:
     sender: Sender
     status: PeerStatus
-    heard: float
-    told: bool = False
+    heard_at: float
+    acknowledged: bool = False
     load_by_key: dict[int, EndpointLoad] = field(default_factory=dict)
 
 
@@ -34,7 +34,7 @@
     def __init__(
         self, own_row: Callable[[int], LoadRow], on_changed: Callable[[set[int]], None]
     ) -> None:
-        self.counts_own = False
+        self.includes_own_load = False
         self._own_row = own_row
         self._on_changed = on_changed
         self._member_by_host: dict[str, _Member] = {}
@@ -45,12 +45,12 @@
         return list(self._member_by_host)
 
     @property
-    def daemons(self) -> int:
+    def daemon_count(self) -> int:
         """Return how many live daemons the group has; those that leave count no more."""
         live = sum(1 for each in self._member_by_host.values() if not each.sender.leaving)
-        return live + self.counts_own
+        return live + self.includes_own_load
 
-    def take(self, report: Report, now: float) -> Joined | None:
+    def apply_report(self, report: Report, now: float) -> AppliedReport | None:
         """Take a member's report; return None for one that came late, or ends the membership."""
         sender = report.sender
         host = sender.address.host
@@ -69,15 +69,15 @@
         assert known is not None
         known.sender = sender
         known.status = report.status
-        known.heard = now
-        known.told = False
+        known.heard_at = now
+        known.acknowledged = False
         for row in report.rows:
             if row.load.empty():
                 known.load_by_key.pop(row.key, None)
             else:
                 known.load_by_key[row.key] = row.load
         self._on_changed({row.key for row in report.rows})
-        return Joined(first)
+        return AppliedReport(first)
 
     def remove(self, host: str) -> Sender | None:
         """Drop a member and its work; return who it was."""
@@ -87,20 +87,20 @@
         self._on_changed(set(member.load_by_key))
         return member.sender
 
-    def silent(self, now: float, silence: float) -> list[str]:
+    def silent_hosts(self, now: float, silence: float) -> list[str]:
         """Return the hosts of members that were silent for a number of seconds."""
-        return [h for h, each in self._member_by_host.items() if now - each.heard > silence]
+        return [h for h, each in self._member_by_host.items() if now - each.heard_at > silence]
 
     def failing(self, now: float) -> list[FailingWord]:
         """Return which endpoints members avoid for what they met."""
         members = self._member_by_host.values()
-        return [w for each in members for w in words_left(each.status.failing, now - each.heard)]
+        return [w for each in members for w in words_left(each.status.failing, now - each.heard_at)]
 
     def recent_failures(self, now: float) -> set[str]:
         """Return the endpoints at which members have just met a failure."""
         members = self._member_by_host.values()
         fresh = [
-            each.status.recent_failures for each in members if now - each.heard < DOUBT_SECONDS
+            each.status.recent_failures for each in members if now - each.heard_at < DOUBT_SECONDS
         ]
         return {endpoint for failures in fresh for endpoint in failures}
 
@@ -108,15 +108,15 @@
         """Return up to which report members are counted, or only of those with newer ones."""
         found = []
         for host, member in self._member_by_host.items():
-            if member.told and not every:
+            if member.acknowledged and not every:
                 continue
-            member.told = True
+            member.acknowledged = True
             found.append(Acknowledgement(host, member.sender.sequence))
         return tuple(found)
 
     def total(self, key: int) -> EndpointLoad:
         """Return the work of the group at one endpoint."""
-        total = self._own_row(key).load if self.counts_own else EndpointLoad()
+        total = self._own_row(key).load if self.includes_own_load else EndpointLoad()
         for member in self._member_by_host.values():
             load = member.load_by_key.get(key)
             if load is not None:
--- a/src/brassdrum/gateway/peering/peer_messages.py
+++ b/src/brassdrum/gateway/peering/peer_messages.py
@@ -26,15 +26,15 @@
     "encode_message",
 ]
 
-_FORMAT = 8
+_FORMAT_VERSION = 8
 # Ages are told in ms; None before the first read of the store.
 _NO_AGE = 0xFFFFFFFF
 # Ages of ends are told in ms, so that ends of one moment are known as such; a content is 8 bytes.
 _AGE_BYTES = 3
-_NEVER = 0xFFFFFF
+_NEVER_SERVED = 0xFFFFFF
 _CONTENT_BYTES = 8
 # A bit for each of the 12 ends that are kept of a content.
-_MARK_BYTES = 2
+_BITMASK_BYTES = 2
 # Flags of a digest.
 _LISTS_MEMBERS, _STEPS_DOWN, _COVERS_FLEET = 1, 2, 4
 
@@ -143,7 +143,7 @@
 class ForwardedDigest:
     """Carry a digest as it was encoded; who gets it sends it on to the hosts named."""
 
-    hosts: tuple[str, ...]
+    forward_to: tuple[str, ...]
     digest: bytes
 
 
@@ -153,52 +153,52 @@
 def encode_message(message: Message) -> bytes:
     """Return a datagram."""
     writer = FieldWriter()
-    writer.number(_FORMAT, 1)
+    writer.uint(_FORMAT_VERSION, 1)
     match message:
         case Hello():
-            writer.number(_Kind.HELLO, 1)
+            writer.uint(_Kind.HELLO, 1)
             _write_sender(writer, message.sender)
-            writer.number(message.wants_reply, 1)
+            writer.uint(message.wants_reply, 1)
             _write_addresses(writer, message.known_daemons)
             _write_addresses(writer, message.aggregators)
         case Report():
-            writer.number(_Kind.REPORT, 1)
+            writer.uint(_Kind.REPORT, 1)
             _write_sender(writer, message.sender)
-            writer.number(message.leaves_group, 1)
-            _write_belief(writer, message.status)
+            writer.uint(message.leaves_group, 1)
+            _write_status(writer, message.status)
             _write_rows(writer, message.rows)
         case Digest():
-            writer.number(_Kind.DIGEST, 1)
+            writer.uint(_Kind.DIGEST, 1)
             _write_digest(writer, message)
         case ForwardedDigest():
-            writer.number(_Kind.FORWARDED_DIGEST, 1)
-            writer.number(len(message.hosts), 1)
-            for host in message.hosts:
+            writer.uint(_Kind.FORWARDED_DIGEST, 1)
+            writer.uint(len(message.forward_to), 1)
+            for host in message.forward_to:
                 writer.host(host)
-            writer.block(message.digest)
+            writer.length_prefixed(message.digest)
     return writer.bytes()
 
 
 def decode_message(data: bytes) -> Message:
     """Return a message, or raise ``ValueError``."""
     reader = FieldReader(data)
-    form = reader.number(1)
-    if form != _FORMAT:
+    form = reader.uint(1)
+    if form != _FORMAT_VERSION:
         raise ValueError(f"message format {form} is unknown; run one version on all hosts")
-    match _Kind(reader.number(1)):
+    match _Kind(reader.uint(1)):
         case _Kind.HELLO:
             sender = _read_sender(reader)
-            asks = bool(reader.number(1))
+            asks = bool(reader.uint(1))
             return Hello(sender, _read_addresses(reader), _read_addresses(reader), asks)
         case _Kind.REPORT:
             sender = _read_sender(reader)
-            leaves = bool(reader.number(1))
-            return Report(sender, _read_belief(reader), _read_rows(reader), leaves)
+            leaves = bool(reader.uint(1))
+            return Report(sender, _read_status(reader), _read_rows(reader), leaves)
         case _Kind.DIGEST:
             return _read_digest(reader)
         case _Kind.FORWARDED_DIGEST:
-            hosts = tuple(reader.host() for _ in range(reader.number(1)))
-            return ForwardedDigest(hosts, reader.block())
+            hosts = tuple(reader.host() for _ in range(reader.uint(1)))
+            return ForwardedDigest(hosts, reader.length_prefixed())
 
 
 def _write_digest(writer: FieldWriter, message: Digest) -> None:
@@ -208,12 +208,12 @@
         | _STEPS_DOWN * message.steps_down
         | _COVERS_FLEET * message.covers_fleet
     )
-    writer.number(flags, 1)
-    writer.number(message.daemon_count, 2)
-    writer.number(message.aggregator_count, 2)
-    _write_belief(writer, message.status)
-    writer.number(message.partition, 2)
-    writer.number(message.partition_count, 2)
+    writer.uint(flags, 1)
+    writer.uint(message.daemon_count, 2)
+    writer.uint(message.aggregator_count, 2)
+    _write_status(writer, message.status)
+    writer.uint(message.partition, 2)
+    writer.uint(message.partition_count, 2)
     _write_rows(writer, message.rows)
     writer.hosts([(each.host, each.sequence) for each in message.acknowledgements], 4)
     _write_addresses(writer, message.known_daemons)
@@ -221,10 +221,10 @@
 
 def _read_digest(reader: FieldReader) -> Digest:
     sender = _read_sender(reader)
-    flags = reader.number(1)
-    daemon_count, aggregator_count = reader.number(2), reader.number(2)
-    status = _read_belief(reader)
-    partition, partition_count = reader.number(2), reader.number(2)
+    flags = reader.uint(1)
+    daemon_count, aggregator_count = reader.uint(2), reader.uint(2)
+    status = _read_status(reader)
+    partition, partition_count = reader.uint(2), reader.uint(2)
     rows = _read_rows(reader)
     acknowledgements = tuple(Acknowledgement(*each) for each in reader.hosts(4))
     known_daemons = _read_addresses(reader)
@@ -247,15 +247,15 @@
 def _write_sender(writer: FieldWriter, sender: Sender) -> None:
     writer.text(sender.name)
     _write_addresses(writer, (sender.address,))
-    writer.number(sender.incarnation, 6)
-    writer.number(sender.sequence, 4)
-    writer.number(sender.leaving, 1)
+    writer.uint(sender.incarnation, 6)
+    writer.uint(sender.sequence, 4)
+    writer.uint(sender.leaving, 1)
 
 
 def _read_sender(reader: FieldReader) -> Sender:
     name = reader.text()
     (address,) = _read_addresses(reader)
-    return Sender(name, address, reader.number(6), reader.number(4), bool(reader.number(1)))
+    return Sender(name, address, reader.uint(6), reader.uint(4), bool(reader.uint(1)))
 
 
 def _write_addresses(writer: FieldWriter, addresses: Iterable[DaemonAddress]) -> None:
@@ -263,7 +263,7 @@
     by_zone: dict[str, list[DaemonAddress]] = {}
     for each in addresses:
         by_zone.setdefault(each.zone, []).append(each)
-    writer.number(len(by_zone), 1)
+    writer.uint(len(by_zone), 1)
     for zone, daemons in by_zone.items():
         writer.text(zone)
         writer.hosts([(each.host, each.capacity) for each in daemons], 1)
@@ -271,51 +271,55 @@
 
 def _read_addresses(reader: FieldReader) -> tuple[DaemonAddress, ...]:
     addresses = []
-    for _ in range(reader.number(1)):
+    for _ in range(reader.uint(1)):
         zone = reader.text()
         addresses += [DaemonAddress(host, zone, carries) for host, carries in reader.hosts(1)]
     return tuple(addresses)
 
 
-def _write_belief(writer: FieldWriter, status: PeerStatus) -> None:
+def _write_status(writer: FieldWriter, status: PeerStatus) -> None:
     # The version before the first configuration is -1.
-    writer.number(status.version + 1, 6)
+    writer.uint(status.version + 1, 6)
     writer.text(status.digest)
-    writer.number(_NO_AGE if status.age is None else round(status.age * 1000), 4)
-    writer.number(status.reads, 4)
+    writer.uint(_NO_AGE if status.age is None else round(status.age * 1000), 4)
+    writer.uint(status.reads, 4)
     # Eras count from 0 or 1; 0 on the wire is none.
-    writer.number(0 if status.era is None else status.era + 1, 4)
-    writer.number(len(status.failing), 2)
+    writer.uint(0 if status.era is None else status.era + 1, 4)
+    writer.uint(len(status.failing), 2)
     for each in status.failing:
         writer.text(each.endpoint)
-        writer.number(_age_ms(each.left), _AGE_BYTES)
-        writer.number(_age_ms(each.span), _AGE_BYTES)
-    writer.number(len(status.draining), 2)
+        writer.uint(_age_ms(each.left), _AGE_BYTES)
+        writer.uint(_age_ms(each.span), _AGE_BYTES)
+    writer.uint(len(status.draining), 2)
     for each in status.draining:
         writer.text(each.endpoint)
-        writer.number(_age_ms(each.age), _AGE_BYTES)
-    writer.number(len(status.recent_failures), 1)
+        writer.uint(_age_ms(each.age), _AGE_BYTES)
+    writer.uint(len(status.recent_failures), 1)
     for name in status.recent_failures:
         writer.text(name)
-    writer.number(len(status.endings), 1)
+    writer.uint(len(status.endings), 1)
     for word in status.endings:
         _write_ending(writer, word)
 
 
 def _write_ending(writer: FieldWriter, word: EndingWord) -> None:
     """Append what is known of a content; one of three ends takes 37 bytes."""
-    writer.number(int(word.content, 16), _CONTENT_BYTES)
-    served = _NEVER if word.served_age is None else min(_NEVER - 1, _age_ms(word.served_age))
-    writer.number(served, _AGE_BYTES)
-    writer.number(len(word.ends), 1)
-    writer.number(_marks(end.soon for end in word.ends), _MARK_BYTES)
-    writer.number(_marks(end.lived for end in word.ends), _MARK_BYTES)
+    writer.uint(int(word.content, 16), _CONTENT_BYTES)
+    served = (
+        _NEVER_SERVED
+        if word.served_age is None
+        else min(_NEVER_SERVED - 1, _age_ms(word.served_age))
+    )
+    writer.uint(served, _AGE_BYTES)
+    writer.uint(len(word.ends), 1)
+    writer.uint(_bitmask(end.soon for end in word.ends), _BITMASK_BYTES)
+    writer.uint(_bitmask(end.lived for end in word.ends), _BITMASK_BYTES)
     for end in word.ends:
-        writer.number(end.endpoint, 4)
-        writer.number(_age_ms(end.age), _AGE_BYTES)
+        writer.uint(end.endpoint, 4)
+        writer.uint(_age_ms(end.age), _AGE_BYTES)
 
 
-def _marks(values: Iterable[bool]) -> int:
+def _bitmask(values: Iterable[bool]) -> int:
     return sum(value << place for place, value in enumerate(values))
 
 
@@ -324,40 +328,37 @@
 
 
 def _read_ending(reader: FieldReader) -> EndingWord:
-    content = f"{reader.number(_CONTENT_BYTES):0{2 * _CONTENT_BYTES}x}"
-    served = reader.number(_AGE_BYTES)
-    count = reader.number(1)
-    soon, lived = reader.number(_MARK_BYTES), reader.number(_MARK_BYTES)
+    content = f"{reader.uint(_CONTENT_BYTES):0{2 * _CONTENT_BYTES}x}"
+    served = reader.uint(_AGE_BYTES)
+    count = reader.uint(1)
+    soon, lived = reader.uint(_BITMASK_BYTES), reader.uint(_BITMASK_BYTES)
     ends = tuple(
         SeenEnd(
-            reader.number(4),
-            reader.number(_AGE_BYTES) / 1000,
+            reader.uint(4),
+            reader.uint(_AGE_BYTES) / 1000,
             bool(soon >> place & 1),
             bool(lived >> place & 1),
         )
         for place in range(count)
     )
-    return EndingWord(content, ends, None if served == _NEVER else served / 1000)
+    return EndingWord(content, ends, None if served == _NEVER_SERVED else served / 1000)
 
 
-def _read_belief(reader: FieldReader) -> PeerStatus:
-    version = reader.number(6) - 1
+def _read_status(reader: FieldReader) -> PeerStatus:
+    version = reader.uint(6) - 1
     digest = reader.text()
-    age = reader.number(4)
-    reads = reader.number(4)
-    era = reader.number(4)
+    age = reader.uint(4)
+    reads = reader.uint(4)
+    era = reader.uint(4)
     failing = tuple(
-        FailingWord(
-            reader.text(), reader.number(_AGE_BYTES) / 1000, reader.number(_AGE_BYTES) / 1000
-        )
-        for _ in range(reader.number(2))
+        FailingWord(reader.text(), reader.uint(_AGE_BYTES) / 1000, reader.uint(_AGE_BYTES) / 1000)
+        for _ in range(reader.uint(2))
     )
     draining = tuple(
-        DrainNotice(reader.text(), reader.number(_AGE_BYTES) / 1000)
-        for _ in range(reader.number(2))
+        DrainNotice(reader.text(), reader.uint(_AGE_BYTES) / 1000) for _ in range(reader.uint(2))
     )
-    recent_failures = tuple(reader.text() for _ in range(reader.number(1)))
-    endings = tuple(_read_ending(reader) for _ in range(reader.number(1)))
+    recent_failures = tuple(reader.text() for _ in range(reader.uint(1)))
+    endings = tuple(_read_ending(reader) for _ in range(reader.uint(1)))
     known_age = None if age == _NO_AGE else age / 1000
     known_era = era - 1 if era else None
     return PeerStatus(
@@ -374,10 +375,10 @@
 
 
 def _write_rows(writer: FieldWriter, rows: tuple[LoadRow, ...]) -> None:
-    writer.number(len(rows), 2)
+    writer.uint(len(rows), 2)
     for row in rows:
         writer.row(row)
 
 
 def _read_rows(reader: FieldReader) -> tuple[LoadRow, ...]:
-    return tuple(reader.row() for _ in range(reader.number(2)))
+    return tuple(reader.row() for _ in range(reader.uint(2)))
--- a/src/brassdrum/gateway/peering/peers.py
+++ b/src/brassdrum/gateway/peering/peers.py
@@ -17,9 +17,10 @@
 from brassdrum.gateway.model import DaemonAddress
 from brassdrum.gateway.net.datagrams import Datagrams
 from brassdrum.gateway.net.loop import Timer, Timers
-from brassdrum.gateway.peering.directory import Directory
+from brassdrum.gateway.peering.aggregators import Aggregators
+from brassdrum.gateway.peering.directory import PeerDirectory
+from brassdrum.gateway.peering.fanout import fanout_branches
 from brassdrum.gateway.peering.group import Group
-from brassdrum.gateway.peering.own_reports import OwnReports
 from brassdrum.gateway.peering.peer_messages import (
     Digest,
     ForwardedDigest,
@@ -30,9 +31,8 @@
     decode_message,
     encode_message,
 )
-from brassdrum.gateway.peering.publishers import Publishers
-from brassdrum.gateway.peering.row_publisher import RowTeller, ToldRows
-from brassdrum.gateway.peering.spreading import branches
+from brassdrum.gateway.peering.pending_reports import PendingReports
+from brassdrum.gateway.peering.row_publisher import RowPublisher, RowUpdate
 from brassdrum.gateway.placing.load import LoadTable
 from brassdrum.telemetry import log_events
 
@@ -41,53 +41,53 @@
 _logger = logging.getLogger(__name__)
 # Changes wait this long for others, so that a burst makes one datagram a receiver. The pause grows
 # with the fleet, as the changes of all come together: 4 ms up to 9 daemons, 27 ms at 60.
-_FLUSH_SECONDS = 0.004
-_DAEMONS_AT_FULL_PACE = 9
-_LONGEST_FLUSH_SECONDS = 0.08
+_MIN_FLUSH_SECONDS = 0.004
+_MAX_DAEMONS_AT_MIN_FLUSH = 9
+_MAX_FLUSH_SECONDS = 0.08
 # A report waits for this part of the pause: it goes to one daemon only.
-_REPORT_SHARE = 0.25
+_REPORT_FLUSH_FRACTION = 0.25
 # Fleets up to this size need no groups: 12 daemons send 11 datagrams a change. A fleet with groups
 # gives them up when it is smaller by the margin, so that it does not change with each restart.
-_MOST_UNGROUPED = 12
-_GROUPED_MARGIN = 2
+_MAX_UNGROUPED_DAEMONS = 12
+_GROUPING_HYSTERESIS_DAEMONS = 2
 # Who speaks for a group, and for itself, gives a sign of life each heartbeat; members less often.
 _HEARTBEAT_SECONDS = 0.4
 _MEMBER_HEARTBEAT_SECONDS = 0.8
 # The work of a daemon or group that was silent for this many heartbeats counts no more.
-_EXPIRE_HEARTBEATS = 4.5
+_EXPIRY_HEARTBEATS = 4.5
 # A member that hears nothing of its speaker for this long, or stays off its roll, chooses anew.
-_SPEAKER_SILENCE_SECONDS = 1.5
-_OFF_ROLL_SECONDS = 2.0
+_AGGREGATOR_TIMEOUT_SECONDS = 1.5
+_UNLISTED_TIMEOUT_SECONDS = 2.0
 # A start waits this long for an answer of its first addresses, and once more for one of the daemons
 # of its zone, before it speaks for itself.
-_SETTLE_SECONDS = 0.25
-_GREETED_AT_START = 16
+_DISCOVERY_SECONDS = 0.25
+_MAX_START_PROBES = 16
 # An address without an answer is greeted for this long: a daemon starts within a second or two.
-_GREET_SECONDS = 20.0
+_PROBE_SECONDS = 20.0
 # Whoever speaks goes on greeting hosts that fell silent, this many each heartbeat, so that groups
 # that lost each other for an hour find each other again; more hosts than this are not remembered.
-_GREETED_PER_HEARTBEAT = 2
-_MOST_LOST = 64
+_LOST_PROBES_PER_HEARTBEAT = 2
+_MAX_LOST_HOSTS = 64
 # Fleets up to this size name all daemons to each other, larger ones those of a zone and speakers.
-_MOST_NAMED_DAEMONS = 24
-# Zones of which no speaker is known are asked through this many of their daemons, others each time.
-_GREETED_PER_ZONE = 3
+_MAX_FULLY_LISTED_DAEMONS = 24
+# Zones without a known aggregator are probed through this many random daemons per heartbeat.
+_PROBES_PER_ZONE = 3
 # Signs of life from one that names the daemons of the zone to the next: they are kept for 4 s.
-_ROLLS_PER_LIST = 4
+_HEARTBEATS_PER_DAEMON_LIST = 4
 # Endpoints of one kind that a message names at most.
-_MOST_NAMED = 64
+_MAX_ENDPOINTS_PER_KIND = 64
 _FETCH_SECONDS_PER_DAEMON = 0.004
 
 
 @dataclass(slots=True)
-class _SpeakerWord:
+class _AggregatorState:
     """Hold what the own speaker said last; the order of its messages is that of ``number``."""
 
     heard_at: float
     listed_at: float
-    number: tuple[int, int] = (-1, -1)
-    daemons: int = 0
-    speakers: int = 0
+    message_number: tuple[int, int] = (-1, -1)
+    daemon_count: int = 0
+    aggregator_count: int = 0
 
 
 class Peers:
@@ -101,9 +101,9 @@
         own: DaemonAddress,
         incarnation: int,
         table: LoadTable,
-        describe: Callable[[], PeerStatus],
-        on_belief: Callable[[str, PeerStatus], None],
-        on_word: Callable[[str, PeerStatus], None],
+        local_status: Callable[[], PeerStatus],
+        on_knowledge: Callable[[str, PeerStatus], None],
+        on_notices: Callable[[str, PeerStatus], None],
         rng: random.Random,
     ) -> None:
         self.leaving = False
@@ -115,58 +115,60 @@
         self._own = own
         self._incarnation = incarnation
         self._table = table
-        self._describe = describe
-        self._on_belief = on_belief
-        self._on_word = on_word
+        self._local_status = local_status
+        self._on_knowledge = on_knowledge
+        self._on_notices = on_notices
         self._random = rng
         self._sequence = 0
-        self._rolls = 0
-        self._directory = Directory(own)
-        self._publishers = Publishers()
-        self._to_groups = RowTeller(lambda key: self._group.total(key))
-        self._to_members = RowTeller(table.total_of)
-        self._group = Group(table.own_row, self._to_groups.changed)
-        self._reports = OwnReports(table.own_row)
-        self._greeted_until: dict[str, float] = {}
+        self._heartbeats_sent = 0
+        self._directory = PeerDirectory(own)
+        self._aggregators = Aggregators()
+        self._rows_for_groups = RowPublisher(lambda key: self._group.total(key))
+        self._rows_for_members = RowPublisher(table.total_of)
+        self._group = Group(table.own_row, self._rows_for_groups.mark_changed)
+        self._pending_reports = PendingReports(table.own_row)
+        self._probed_until: dict[str, float] = {}
         self._lost_hosts: dict[str, None] = {}
-        self._speaker: str | None = None
-        self._heard = _SpeakerWord(0.0, 0.0)
+        self._aggregator_host: str | None = None
+        self._aggregator_state = _AggregatorState(0.0, 0.0)
         self._grouped = False
         self._publish_timer: Timer | None = None
         self._report_timer: Timer | None = None
-        self._settled = False
-        datagrams.listen(self._received)
-        loop.call_later(0.0, self._beat)
-        loop.call_later(_SETTLE_SECONDS, self._look_around)
+        self._discovery_done = False
+        datagrams.listen(self._handle_datagram)
+        loop.call_later(0.0, self._send_heartbeat)
+        loop.call_later(_DISCOVERY_SECONDS, self._probe_zone)
 
     @property
     def live_count(self) -> int:
         """Return the number of live daemons, this one too."""
-        if not self.is_aggregator and self._heard.daemons:
-            return self._heard.daemons
-        return max(1, self._publishers.daemons + self._group.daemons)
+        if not self.is_aggregator and self._aggregator_state.daemon_count:
+            return self._aggregator_state.daemon_count
+        return max(1, self._aggregators.daemon_count + self._group.daemon_count)
 
     @property
     def flush_seconds(self) -> float:
         """Return how long changes wait for others before all daemons are told."""
-        return min(_LONGEST_FLUSH_SECONDS, _FLUSH_SECONDS * self._spread())
+        return min(_MAX_FLUSH_SECONDS, _MIN_FLUSH_SECONDS * self._flush_scale())
 
     @property
     def is_aggregator(self) -> bool:
         """Return whether this daemon speaks for itself or a group."""
-        return self._speaker == self._own.host
+        return self._aggregator_host == self._own.host
 
     @property
     def rank(self) -> int:
         """Return this daemon's place among the live ones; those that speak come first, by name."""
         if self.is_aggregator:
-            return self._publishers.before(self._name)
+            return self._aggregators.count_before(self._name)
         hosts = [each.host for each in self._directory.addresses(self._own.zone)]
-        return self._heard.speakers + sum(1 for host in hosts if host < self._own.host)
+        return self._aggregator_state.aggregator_count + sum(
+            1 for host in hosts if host < self._own.host
+        )
 
     @property
     def group_size(self) -> int:
-        """Return how many daemons have the same speaker, at least 1."""
+        """Return how many daemons have the same aggregator, at least 1."""
         return 1 if self.is_aggregator else 1 + len(self._directory.addresses(self._own.zone))
 
     def fetch_delay(self) -> float:
@@ -181,26 +183,26 @@
     def add_seed(self, host: str) -> None:
         """Greet a host that may run a daemon."""
         if host != self._own.host:
-            self._note_lost_host(host)
-            self._greeted_until.setdefault(host, self._loop.now() + _GREET_SECONDS)
-            self._greet(host)
+            self._remember_lost_host(host)
+            self._probed_until.setdefault(host, self._loop.now() + _PROBE_SECONDS)
+            self._probe(host)
 
     def add_addresses(self, addresses: list[DaemonAddress]) -> None:
         """Take the addresses of daemons that announced themselves."""
-        self._directory.learn(addresses, self._loop.now())
-        self._choose()
+        self._directory.add(addresses, self._loop.now())
+        self._choose_aggregator()
 
     def load_changed(self) -> None:
         """Tell what changed, together with what changes in the next moment."""
         if self.is_aggregator:
-            self._take_own_changes()
-            self._plan_publish()
-        elif self._speaker is not None:
-            self._plan_report()
+            self._collect_own_changes()
+            self._schedule_publish()
+        elif self._aggregator_host is not None:
+            self._schedule_report()
 
     def announce(self) -> None:
         """Tell at once how new this daemon's knowledge is."""
-        self._choose()
+        self._choose_aggregator()
         if self.is_aggregator:
             self._publish()
         else:
@@ -209,96 +211,100 @@
     def close(self) -> None:
         """Say good-bye."""
         self.leaving = True
-        self._part()
+        self._announce_departure()
         self._datagrams.close()
 
     # Time.
 
-    def _spread(self) -> float:
-        return max(1.0, self.live_count / _DAEMONS_AT_FULL_PACE)
+    def _flush_scale(self) -> float:
+        return max(1.0, self.live_count / _MAX_DAEMONS_AT_MIN_FLUSH)
 
-    def _heartbeat(self) -> float:
+    def _heartbeat_seconds(self) -> float:
         if not self.is_aggregator:
             return _MEMBER_HEARTBEAT_SECONDS
-        return _HEARTBEAT_SECONDS if self._grouped else _HEARTBEAT_SECONDS * self._spread()
+        return _HEARTBEAT_SECONDS if self._grouped else _HEARTBEAT_SECONDS * self._flush_scale()
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         now = self._loop.now()
-        self._drop_silent(now)
+        self._expire_silent(now)
         self._table.refresh(now)
-        self._choose()
-        self._greet_again(now)
+        self._choose_aggregator()
+        self._probe_missing(now)
         self._table.changed |= self._table.reading_keys()
         if self.is_aggregator:
-            self._take_own_changes()
+            self._collect_own_changes()
             self._publish(heartbeat=True)
         else:
             self._report()
-        self._loop.call_later(self._heartbeat(), self._beat)
+        self._loop.call_later(self._heartbeat_seconds(), self._send_heartbeat)
 
-    def _drop_silent(self, now: float) -> None:
-        for address in self._directory.drop_silent(now):
-            self._note_lost_host(address.host)
-        for host in self._group.silent(now, _EXPIRE_HEARTBEATS * _MEMBER_HEARTBEAT_SECONDS):
+    def _expire_silent(self, now: float) -> None:
+        for address in self._directory.expire(now):
+            self._remember_lost_host(address.host)
+        for host in self._group.silent_hosts(now, _EXPIRY_HEARTBEATS * _MEMBER_HEARTBEAT_SECONDS):
             self._drop_member(host)
-        heartbeat = _HEARTBEAT_SECONDS if self._grouped else _HEARTBEAT_SECONDS * self._spread()
-        for sender in self._publishers.drop_silent(now, _EXPIRE_HEARTBEATS * heartbeat):
+        heartbeat = (
+            _HEARTBEAT_SECONDS if self._grouped else _HEARTBEAT_SECONDS * self._flush_scale()
+        )
+        for sender in self._aggregators.expire(now, _EXPIRY_HEARTBEATS * heartbeat):
             self._table.forget(sender.name)
-            _note_lost(sender)
+            _log_peer_lost(sender)
 
-    def _note_lost_host(self, host: str) -> None:
+    def _remember_lost_host(self, host: str) -> None:
         self._lost_hosts[host] = None
-        while len(self._lost_hosts) > _MOST_LOST:
+        while len(self._lost_hosts) > _MAX_LOST_HOSTS:
             del self._lost_hosts[next(iter(self._lost_hosts))]
 
     def _drop_member(self, host: str) -> None:
         sender = self._group.remove(host)
         if sender is not None:
             self._table.forget(sender.name)
-            _note_lost(sender)
+            _log_peer_lost(sender)
 
     # Who speaks.
 
-    def _look_around(self) -> None:
-        """Ask the daemons of the zone before the first choice, where no speaker is known yet."""
-        if self._settled:
+    def _probe_zone(self) -> None:
+        """Ask the daemons of the zone before the first choice, where no aggregator is known yet."""
+        if self._discovery_done:
             return
-        for host in self._directory.unheard(self._own.zone)[:_GREETED_AT_START]:
-            self._greet(host)
-        self._loop.call_later(_SETTLE_SECONDS, self._settle)
+        for host in self._directory.unheard_hosts(self._own.zone)[:_MAX_START_PROBES]:
+            self._probe(host)
+        self._loop.call_later(_DISCOVERY_SECONDS, self._finish_discovery)
 
-    def _settle(self) -> None:
-        self._settled = True
-        self._choose()
+    def _finish_discovery(self) -> None:
+        self._discovery_done = True
+        self._choose_aggregator()
 
-    def _choose(self) -> None:
+    def _choose_aggregator(self) -> None:
         """Choose who speaks for this daemon."""
         now = self._loop.now()
-        if not self._settled:
+        if not self._discovery_done:
             return
         known = max(self.live_count, 1 + len(self._directory))
-        margin = _GROUPED_MARGIN if self._grouped else 0
-        self._grouped = known > _MOST_UNGROUPED - margin
-        speaker = self._own.host
+        margin = _GROUPING_HYSTERESIS_DAEMONS if self._grouped else 0
+        self._grouped = known > _MAX_UNGROUPED_DAEMONS - margin
+        aggregator = self._own.host
         if self._grouped:
-            candidates = self._directory.speakers(self._own.zone, now, own=not self.leaving)
-            speaker = candidates[0].host if candidates else self._own.host
-        if speaker != self._speaker:
-            self._follow(speaker)
-
-    def _follow(self, speaker: str) -> None:
-        before = self._speaker
-        self._part(speaker)
-        self._speaker = speaker
+            candidates = self._directory.candidates(self._own.zone, now, own=not self.leaving)
+            aggregator = candidates[0].host if candidates else self._own.host
+        if aggregator != self._aggregator_host:
+            self._switch_aggregator(aggregator)
+
+    def _switch_aggregator(self, aggregator: str) -> None:
+        before = self._aggregator_host
+        self._announce_departure(aggregator)
+        self._aggregator_host = aggregator
         now = self._loop.now()
-        self._heard = _SpeakerWord(now, now, daemons=self._heard.daemons)
+        self._aggregator_state = _AggregatorState(
+            now, now, daemon_count=self._aggregator_state.daemon_count
+        )
         self._table.unacknowledge()
-        self._reports.begin()
-        self._group.counts_own = self.is_aggregator
+        self._pending_reports.reset()
+        self._group.includes_own_load = self.is_aggregator
         self._table.changed.update(row.key for row in self._table.own_rows())
         log_events.SPEAKER_CHOSEN.write(
             _logger,
-            speaker=speaker,
+            speaker=aggregator,
             before=before,
             known=len(self._directory),
             live=self.live_count,
@@ -308,56 +314,61 @@
             return
         if before is not None:
             self._table.forget_others("")
-        self._take_own_changes()
+        self._collect_own_changes()
         self._publish(heartbeat=True)
 
-    def _part(self, successor: str | None = None) -> None:
+    def _announce_departure(self, successor: str | None = None) -> None:
         """Tell those that knew this daemon as speaker or member that it is that no more."""
-        if self._reports_to is not None:
-            self._send(self._reports_to, Report(self._sender(), self._belief(), leaves_group=True))
+        if self._report_target is not None:
+            self._send(
+                self._report_target,
+                Report(self._next_sender(), self._group_status(), leaves_group=True),
+            )
         if not self.is_aggregator:
             return
-        data = encode_message(self._ended(successor))
-        for host in self._other_speakers():
+        data = encode_message(self._step_down_digest(successor))
+        for host in self._publish_targets():
             self._send_bytes(host, data)
-        self._pass_on(data)
+        self._forward_to_members(data)
         for host in self._group.hosts:
             sender = self._group.remove(host)
             if sender is not None:
                 self._table.forget(sender.name)
 
-    def _ended(self, successor: str | None) -> Digest:
+    def _step_down_digest(self, successor: str | None) -> Digest:
         found = None if successor is None else self._directory.address(successor)
         known = () if found is None else (found,)
-        return Digest(self._sender(), self._belief(), 0, known_daemons=known, steps_down=True)
+        return Digest(
+            self._next_sender(), self._group_status(), 0, known_daemons=known, steps_down=True
+        )
 
     @property
-    def _reports_to(self) -> str | None:
-        return None if self.is_aggregator else self._speaker
+    def _report_target(self) -> str | None:
+        return None if self.is_aggregator else self._aggregator_host
 
-    def _check_speaker(self, now: float) -> None:
-        speaker = self._reports_to
-        if speaker is None:
+    def _check_aggregator(self, now: float) -> None:
+        aggregator = self._report_target
+        if aggregator is None:
             return
-        silent = now - self._heard.heard_at > _SPEAKER_SILENCE_SECONDS
-        unlisted = now - self._heard.listed_at > _OFF_ROLL_SECONDS
+        silent = now - self._aggregator_state.heard_at > _AGGREGATOR_TIMEOUT_SECONDS
+        unlisted = now - self._aggregator_state.listed_at > _UNLISTED_TIMEOUT_SECONDS
         if silent or unlisted:
-            self._directory.distrust(speaker, now)
-            self._choose()
+            self._directory.exclude(aggregator, now)
+            self._choose_aggregator()
 
     # Sending.
 
-    def _take_own_changes(self) -> None:
+    def _collect_own_changes(self) -> None:
         changed, self._table.changed = self._table.changed, set()
-        self._to_groups.changed(changed)
-        self._to_members.changed(changed)
+        self._rows_for_groups.mark_changed(changed)
+        self._rows_for_members.mark_changed(changed)
 
-    def _plan_report(self) -> None:
+    def _schedule_report(self) -> None:
         if self._report_timer is None:
-            pause = self.flush_seconds * _REPORT_SHARE
+            pause = self.flush_seconds * _REPORT_FLUSH_FRACTION
             self._report_timer = self._loop.call_later(pause, self._report)
 
-    def _plan_publish(self) -> None:
+    def _schedule_publish(self) -> None:
         if self._publish_timer is None:
             self._publish_timer = self._loop.call_later(self.flush_seconds, self._publish)
 
@@ -365,14 +376,14 @@
         if self._report_timer is not None:
             self._report_timer.cancel()
             self._report_timer = None
-        self._check_speaker(self._loop.now())
-        speaker = self._reports_to
-        if speaker is None:
+        self._check_aggregator(self._loop.now())
+        aggregator = self._report_target
+        if aggregator is None:
             return
         changed, self._table.changed = self._table.changed, set()
-        sender = self._sender()
-        rows = self._reports.rows(changed, sender.sequence)
-        self._send(speaker, Report(sender, self._belief(), rows))
+        sender = self._next_sender()
+        rows = self._pending_reports.rows_to_send(changed, sender.sequence)
+        self._send(aggregator, Report(sender, self._group_status(), rows))
 
     def _publish(self, *, heartbeat: bool = False) -> None:
         """Tell the other speakers what changed here, and the members what changed anywhere.
@@ -384,99 +395,106 @@
             self._publish_timer = None
         if not self.is_aggregator:
             return
-        self._rolls += heartbeat
-        own = self._digest(
-            self._to_groups.tell(part=heartbeat or self._grouped), lists_members=heartbeat
+        self._heartbeats_sent += heartbeat
+        own = self._build_digest(
+            self._rows_for_groups.take_changed(part=heartbeat or self._grouped),
+            lists_members=heartbeat,
         )
         data = encode_message(own)
-        for host in [*self._other_speakers(), *(self._strangers() if heartbeat else ())]:
+        for host in [*self._publish_targets(), *(self._discovery_targets() if heartbeat else ())]:
             self._send_bytes(host, data)
         told, self._table.told = self._table.told, set()
-        self._to_members.changed(told)
+        self._rows_for_members.mark_changed(told)
         if self._group.hosts:
-            rows = self._to_members.tell(part=True)
-            self._pass_on(encode_message(self._digest(rows, lists_members=heartbeat, fleet=True)))
+            rows = self._rows_for_members.take_changed(part=True)
+            self._forward_to_members(
+                encode_message(self._build_digest(rows, lists_members=heartbeat, fleet=True))
+            )
 
-    def _digest(self, told: ToldRows, *, lists_members: bool, fleet: bool = False) -> Digest:
+    def _build_digest(
+        self, update: RowUpdate, *, lists_members: bool, fleet: bool = False
+    ) -> Digest:
         return Digest(
-            self._sender(),
-            self._belief(fleet=fleet),
-            self.live_count if fleet else self._group.daemons,
-            1 + self._publishers.live(),
+            self._next_sender(),
+            self._group_status(fleet=fleet),
+            self.live_count if fleet else self._group.daemon_count,
+            1 + self._aggregators.live_count(),
             fleet,
-            told.rows,
-            told.part,
-            told.parts,
+            update.rows,
+            update.partition,
+            update.partition_count,
             self._group.acknowledgements(every=lists_members) if fleet else (),
-            self._acquaintances() if lists_members and self._names_others() else (),
+            self._daemons_to_list() if lists_members and self._daemon_list_due() else (),
             lists_members=lists_members,
         )
 
-    def _names_others(self) -> bool:
+    def _daemon_list_due(self) -> bool:
         """Return whether it is time to name other daemons: a list of 39 takes 200 bytes."""
-        return self._rolls % _ROLLS_PER_LIST == 0
+        return self._heartbeats_sent % _HEARTBEATS_PER_DAEMON_LIST == 0
 
-    def _other_speakers(self) -> list[str]:
+    def _publish_targets(self) -> list[str]:
         if self._grouped:
-            return self._publishers.hosts
+            return self._aggregators.hosts
         members = set(self._group.hosts)
         return [each.host for each in self._directory.addresses() if each.host not in members]
 
-    def _acquaintances(self) -> tuple[DaemonAddress, ...]:
+    def _daemons_to_list(self) -> tuple[DaemonAddress, ...]:
         """Return the daemons of the zone for members, and the speakers for other speakers."""
-        named = self._directory.addresses(self._named_zone(self._own.zone))
-        return tuple(dict.fromkeys([*named, *self._speakers()]))
+        named = self._directory.addresses(self._listed_zone(self._own.zone))
+        return tuple(dict.fromkeys([*named, *self._known_aggregators()]))
 
-    def _strangers(self) -> list[str]:
-        """Return daemons that may not know this speaker: of its zone, and of zones without one."""
+    def _discovery_targets(self) -> list[str]:
+        """Return daemons that may not know this aggregator."""
         if not self._grouped:
             return []
-        known = {*self._group.hosts, *self._publishers.hosts}
+        known = {*self._group.hosts, *self._aggregators.hosts}
         zone = self._own.zone
         found = [each.host for each in self._directory.addresses(zone) if each.host not in known]
-        for other in self._directory.zones() - self._publishers.zones() - {zone}:
+        for other in self._directory.zones() - self._aggregators.zones() - {zone}:
             hosts = [each.host for each in self._directory.addresses(other)]
-            found.extend(self._random.sample(hosts, min(_GREETED_PER_ZONE, len(hosts))))
+            found.extend(self._random.sample(hosts, min(_PROBES_PER_ZONE, len(hosts))))
         return found
 
-    def _pass_on(self, digest: bytes) -> None:
-        for branch in branches(self._group.hosts, self._random):
-            self._send(branch.host, ForwardedDigest(branch.onward, digest))
+    def _forward_to_members(self, digest: bytes) -> None:
+        for branch in fanout_branches(self._group.hosts, self._random):
+            self._send(branch.host, ForwardedDigest(branch.forward_to, digest))
 
-    def _greet_again(self, now: float) -> None:
+    def _probe_missing(self, now: float) -> None:
         """Greet first addresses until they answer, and some of those that fell silent."""
-        for host, until in list(self._greeted_until.items()):
+        for host, until in list(self._probed_until.items()):
             if now > until:
-                del self._greeted_until[host]
+                del self._probed_until[host]
                 continue
-            self._greet(host)
+            self._probe(host)
         if self.is_aggregator:
-            count = min(_GREETED_PER_HEARTBEAT, len(self._lost_hosts))
+            count = min(_LOST_PROBES_PER_HEARTBEAT, len(self._lost_hosts))
             for host in self._random.sample(list(self._lost_hosts), count):
-                self._greet(host)
+                self._probe(host)
 
-    def _greet(self, host: str) -> None:
-        self._send(host, Hello(self._sender(), wants_reply=True))
+    def _probe(self, host: str) -> None:
+        self._send(host, Hello(self._next_sender(), wants_reply=True))
 
-    def _sender(self) -> Sender:
+    def _next_sender(self) -> Sender:
         self._sequence += 1
         return Sender(self._name, self._own, self._incarnation, self._sequence, self.leaving)
 
-    def _belief(self, *, fleet: bool = False) -> PeerStatus:
+    def _group_status(self, *, fleet: bool = False) -> PeerStatus:
         """Return what this daemon and its group believe; with ``fleet`` what all groups do."""
-        status = self._describe()
+        status = self._local_status()
         now = self._loop.now()
-        others = self._publishers.failing(now) if fleet else []
+        others = self._aggregators.failing(now) if fleet else []
         failing = longest_words([*status.failing, *self._group.failing(now), *others])
         return replace(
             status,
-            failing=failing[:_MOST_NAMED],
+            failing=failing[:_MAX_ENDPOINTS_PER_KIND],
             # Members would hear their own recent_failures as another daemon's.
-            recent_failures=() if fleet else self._doubts(status)[:_MOST_NAMED],
-            draining=status.draining[:_MOST_NAMED],
+            recent_failures=(
+                () if fleet else self._recent_failures(status)[:_MAX_ENDPOINTS_PER_KIND]
+            ),
+            draining=status.draining[:_MAX_ENDPOINTS_PER_KIND],
         )
 
-    def _doubts(self, status: PeerStatus) -> tuple[str, ...]:
+    def _recent_failures(self, status: PeerStatus) -> tuple[str, ...]:
         return tuple(
             sorted({*status.recent_failures, *self._group.recent_failures(self._loop.now())})
         )
@@ -491,70 +509,70 @@
 
     # Receiving.
 
-    def _received(self, data: bytes, source: str) -> None:
+    def _handle_datagram(self, data: bytes, source: str) -> None:
         try:
             message = decode_message(data)
             match message:
                 case Hello():
-                    self._take_hello(message)
+                    self._handle_hello(message)
                 case Report():
-                    self._take_report(message)
+                    self._handle_report(message)
                 case Digest():
-                    self._take_digest(message, data, direct=True)
+                    self._handle_digest(message, data, direct=True)
                 case ForwardedDigest():
-                    self._take_bundle(message)
+                    self._handle_forwarded_digest(message)
         except ValueError as error:
             _logger.warning("peer message dropped", extra={"error": str(error), "from": source})
 
-    def _take_hello(self, hello: Hello) -> None:
+    def _handle_hello(self, hello: Hello) -> None:
         now = self._loop.now()
         address = hello.sender.address
         if address.host == self._own.host:
             return
-        first = self._directory.heard(address, now, leaving=hello.sender.leaving)
-        self._directory.learn(hello.known_daemons, now)
-        self._directory.vouched(hello.aggregators, now)
-        self._note_found(address.host)
+        first = self._directory.mark_heard(address, now, leaving=hello.sender.leaving)
+        self._directory.add(hello.known_daemons, now)
+        self._directory.add_live(hello.aggregators, now)
+        self._mark_found(address.host)
         if hello.wants_reply:
-            known = tuple(self._directory.addresses(self._named_zone(address.zone)))
-            self._send(address.host, Hello(self._sender(), known, self._speakers()))
+            known = tuple(self._directory.addresses(self._listed_zone(address.zone)))
+            self._send(address.host, Hello(self._next_sender(), known, self._known_aggregators()))
         elif any(each.zone == self._own.zone for each in hello.aggregators):
-            self._settled = True
-        self._choose()
+            self._discovery_done = True
+        self._choose_aggregator()
         if self.is_aggregator and not self._grouped and first:
-            self._tell_all(address.host)
+            self._send_snapshot(address.host)
 
-    def _named_zone(self, zone: str) -> str | None:
+    def _listed_zone(self, zone: str) -> str | None:
         """Return of which zone to name daemons, None for all."""
-        return None if len(self._directory) <= _MOST_NAMED_DAEMONS else zone
+        return None if len(self._directory) <= _MAX_FULLY_LISTED_DAEMONS else zone
 
-    def _note_found(self, host: str) -> None:
-        self._greeted_until.pop(host, None)
+    def _mark_found(self, host: str) -> None:
+        self._probed_until.pop(host, None)
         self._lost_hosts.pop(host, None)
 
-    def _speakers(self) -> tuple[DaemonAddress, ...]:
-        found = (self._directory.address(host) for host in self._publishers.hosts)
+    def _known_aggregators(self) -> tuple[DaemonAddress, ...]:
+        found = (self._directory.address(host) for host in self._aggregators.hosts)
         known = tuple(each for each in found if each is not None)
         return (*known, self._own) if self.is_aggregator else known
 
-    def _tell_all(self, host: str, *, fleet: bool = False) -> None:
-        """Tell a member, or another speaker, all at once that it does not know yet."""
-        teller = self._to_members if fleet else self._to_groups
-        self._send(host, self._digest(teller.tell_all(), lists_members=True, fleet=fleet))
+    def _send_snapshot(self, host: str, *, fleet: bool = False) -> None:
+        """Tell a member, or another aggregator, all at once that it does not know yet."""
+        teller = self._rows_for_members if fleet else self._rows_for_groups
+        self._send(host, self._build_digest(teller.snapshot(), lists_members=True, fleet=fleet))
 
-    def _take_report(self, report: Report) -> None:
+    def _handle_report(self, report: Report) -> None:
         now = self._loop.now()
         sender = report.sender
         host = sender.address.host
-        self._directory.heard(sender.address, now, leaving=sender.leaving)
-        self._on_word(host, report.status)
+        self._directory.mark_heard(sender.address, now, leaving=sender.leaving)
+        self._on_notices(host, report.status)
         if report.leaves_group and sender.leaving:
-            self._directory.forget(host)
+            self._directory.remove(host)
         if not self.is_aggregator:
-            if self._speaker is not None and not report.leaves_group:
-                self._send(host, self._ended(self._speaker))
+            if self._aggregator_host is not None and not report.leaves_group:
+                self._send(host, self._step_down_digest(self._aggregator_host))
             return
-        joined = self._group.take(report, now)
+        joined = self._group.apply_report(report, now)
         if joined is None:
             if report.leaves_group:
                 self._table.forget(sender.name)
@@ -563,113 +581,113 @@
             self._table.forget(sender.name)
             log_events.PEER_FOUND.write(_logger, peer=sender.name, host=host)
         self._table.merge(sender.name, report.rows, now, sender.sequence)
-        self._on_belief(host, report.status)
+        self._on_knowledge(host, report.status)
         if joined.first:
-            self._tell_all(host, fleet=True)
-        self._plan_publish()
+            self._send_snapshot(host, fleet=True)
+        self._schedule_publish()
 
-    def _take_bundle(self, bundle: ForwardedDigest) -> None:
-        if bundle.hosts:
-            data = encode_message(ForwardedDigest((), bundle.digest))
-            for host in bundle.hosts:
+    def _handle_forwarded_digest(self, message: ForwardedDigest) -> None:
+        if message.forward_to:
+            data = encode_message(ForwardedDigest((), message.digest))
+            for host in message.forward_to:
                 self._send_bytes(host, data)
-        digest = decode_message(bundle.digest)
+        digest = decode_message(message.digest)
         if isinstance(digest, Digest):
-            self._take_digest(digest, bundle.digest, direct=False)
+            self._handle_digest(digest, message.digest, direct=False)
 
-    def _take_digest(self, digest: Digest, data: bytes, *, direct: bool) -> None:
+    def _handle_digest(self, digest: Digest, data: bytes, *, direct: bool) -> None:
         now = self._loop.now()
         sender = digest.sender
         host = sender.address.host
         if host == self._own.host:
             return
-        first = self._directory.heard(sender.address, now, leaving=sender.leaving)
-        self._note_found(host)
+        first = self._directory.mark_heard(sender.address, now, leaving=sender.leaving)
+        self._mark_found(host)
         if digest.steps_down:
-            self._take_end(digest, now)
+            self._handle_step_down(digest, now)
         elif digest.covers_fleet:
-            self._take_fleet_digest(digest, now)
+            self._handle_fleet_digest(digest, now)
         elif self.is_aggregator:
-            self._take_group_digest(digest, now)
-        elif direct and self._speaker is not None and host != self._speaker:
+            self._handle_group_digest(digest, now)
+        elif direct and self._aggregator_host is not None and host != self._aggregator_host:
             # Another group looks for the one of this zone.
-            self._send(self._speaker, ForwardedDigest((), data))
+            self._send(self._aggregator_host, ForwardedDigest((), data))
         if sender.leaving or first:
-            self._choose()
+            self._choose_aggregator()
 
-    def _take_end(self, digest: Digest, now: float) -> None:
+    def _handle_step_down(self, digest: Digest, now: float) -> None:
         """Take that a daemon speaks no more, and who does in its place."""
         sender = digest.sender
         host = sender.address.host
-        self._directory.vouched(digest.known_daemons, now)
-        if self.is_aggregator and self._publishers.forget(host) is not None:
+        self._directory.add_live(digest.known_daemons, now)
+        if self.is_aggregator and self._aggregators.remove(host) is not None:
             self._table.forget(sender.name)
         if sender.leaving:
-            self._directory.forget(host)
-        if host == self._speaker:
-            self._directory.distrust(host, now)
-            self._choose()
+            self._directory.remove(host)
+        if host == self._aggregator_host:
+            self._directory.exclude(host, now)
+            self._choose_aggregator()
 
-    def _take_group_digest(self, digest: Digest, now: float) -> None:
+    def _handle_group_digest(self, digest: Digest, now: float) -> None:
         """Take another group's work."""
         sender = digest.sender
         host = sender.address.host
-        taken = self._publishers.take(digest, now)
+        taken = self._aggregators.apply_digest(digest, now)
         if taken is None:
             return
-        if taken.first or taken.began:
+        if taken.first or taken.restarted:
             self._table.forget(sender.name)
             log_events.PEER_FOUND.write(_logger, peer=sender.name, host=host)
-        self._merge(digest, now)
-        self._on_word(host, digest.status)
-        self._on_belief(host, digest.status)
-        spoken_for = {*self._publishers.zones(), self._own.zone} if self._grouped else set()
-        self._directory.learn(
+        self._merge_rows(digest, now)
+        self._on_notices(host, digest.status)
+        self._on_knowledge(host, digest.status)
+        spoken_for = {*self._aggregators.zones(), self._own.zone} if self._grouped else set()
+        self._directory.add(
             [each for each in digest.known_daemons if each.zone not in spoken_for], now
         )
         if taken.first:
-            self._tell_all(host)
+            self._send_snapshot(host)
         if self._group.hosts:
-            self._plan_publish()
+            self._schedule_publish()
 
-    def _take_fleet_digest(self, digest: Digest, now: float) -> None:
+    def _handle_fleet_digest(self, digest: Digest, now: float) -> None:
         """Take what the own speaker says of all."""
         sender = digest.sender
-        word = self._heard
+        word = self._aggregator_state
         number = (sender.incarnation, sender.sequence)
-        if sender.address.host != self._reports_to or number <= word.number:
+        if sender.address.host != self._report_target or number <= word.message_number:
             return
         self._table.forget_others(sender.name)
         word.heard_at = now
-        word.number = number
-        word.daemons = digest.daemon_count
-        word.speakers = digest.aggregator_count
+        word.message_number = number
+        word.daemon_count = digest.daemon_count
+        word.aggregator_count = digest.aggregator_count
         hosts = [each.host for each in digest.acknowledgements]
         if digest.lists_members:
-            self._directory.learn(digest.known_daemons, now)
-            self._directory.listed(hosts, now)
+            self._directory.add(digest.known_daemons, now)
+            self._directory.mark_listed(hosts, now)
             far = [each.host for each in digest.known_daemons if each.zone != self._own.zone]
-            self._directory.listed(far, now)
+            self._directory.mark_listed(far, now)
         fallen = None
         for each in digest.acknowledgements:
             if each.host == self._own.host:
                 word.listed_at = now
-                counted = self._reports.acknowledge(each.sequence)
+                counted = self._pending_reports.acknowledge(each.sequence)
                 fallen = self._table.acknowledge(counted)
-        self._merge(digest, now, fallen)
+        self._merge_rows(digest, now, fallen)
         if digest.lists_members and self._own.host not in hosts:
-            self._begin_reports()
-        self._on_word(sender.address.host, digest.status)
-        self._on_belief(sender.address.host, digest.status)
+            self._restart_reports()
+        self._on_notices(sender.address.host, digest.status)
+        self._on_knowledge(sender.address.host, digest.status)
 
-    def _begin_reports(self) -> None:
+    def _restart_reports(self) -> None:
         """Report all again: the speaker does not know this daemon, or has started again."""
         self._table.unacknowledge()
-        self._reports.begin()
+        self._pending_reports.reset()
         self._table.changed.update(row.key for row in self._table.own_rows())
-        self._plan_report()
+        self._schedule_report()
 
-    def _merge(self, digest: Digest, now: float, fallen: dict[int, int] | None = None) -> None:
+    def _merge_rows(self, digest: Digest, now: float, fallen: dict[int, int] | None = None) -> None:
         sender = digest.sender
         self._table.merge(sender.name, digest.rows, now, sender.sequence, fallen)
         if digest.partition_count:
@@ -679,5 +697,5 @@
             )
 
 
-def _note_lost(sender: Sender) -> None:
+def _log_peer_lost(sender: Sender) -> None:
     log_events.PEER_LOST.write(_logger, peer=sender.name, host=sender.address.host)
--- a/src/brassdrum/gateway/peering/own_reports.py
+++ b/src/brassdrum/gateway/peering/pending_reports.py
@@ -4,30 +4,30 @@
 
 from collections.abc import Callable, Iterable
 
-from brassdrum.gateway.peering.wire import rounded
+from brassdrum.gateway.peering.wire import quantized
 from brassdrum.gateway.placing.load import LoadRow
 
-__all__ = ["OwnReports"]
+__all__ = ["PendingReports"]
 
 # Reports without an acknowledgement that are remembered; at two a second that is half a minute.
-_MOST_UNANSWERED = 64
+_MAX_UNACKNOWLEDGED_REPORTS = 64
 
 
-class OwnReports:
+class PendingReports:
     """Keep which rows the daemon that speaks for the group has not confirmed yet."""
 
     def __init__(self, own_row: Callable[[int], LoadRow]) -> None:
         self._own_row = own_row
-        self._changed_in: dict[int, int] = {}
+        self._sequence_by_key: dict[int, int] = {}
         self._rows_by_sequence: dict[int, tuple[LoadRow, ...]] = {}
 
-    def rows(self, changed: Iterable[int], sequence: int) -> tuple[LoadRow, ...]:
+    def rows_to_send(self, changed: Iterable[int], sequence: int) -> tuple[LoadRow, ...]:
         """Return the rows of the report with a sequence number: all that are not confirmed."""
         for key in changed:
-            self._changed_in[key] = sequence
-        rows = tuple(rounded(self._own_row(key)) for key in self._changed_in)
+            self._sequence_by_key[key] = sequence
+        rows = tuple(quantized(self._own_row(key)) for key in self._sequence_by_key)
         self._rows_by_sequence[sequence] = rows
-        while len(self._rows_by_sequence) > _MOST_UNANSWERED:
+        while len(self._rows_by_sequence) > _MAX_UNACKNOWLEDGED_REPORTS:
             del self._rows_by_sequence[next(iter(self._rows_by_sequence))]
         return rows
 
@@ -36,11 +36,11 @@
         counted: dict[int, LoadRow] = {}
         for number in [number for number in self._rows_by_sequence if number <= sequence]:
             counted.update((row.key, row) for row in self._rows_by_sequence.pop(number))
-        for key in [key for key, number in self._changed_in.items() if number <= sequence]:
-            del self._changed_in[key]
+        for key in [key for key, number in self._sequence_by_key.items() if number <= sequence]:
+            del self._sequence_by_key[key]
         return list(counted.values())
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Start anew with another daemon, which knows nothing yet."""
-        self._changed_in.clear()
+        self._sequence_by_key.clear()
         self._rows_by_sequence.clear()
