--- a/src/brassdrum/gateway/peering/__init__.py
+++ b/src/brassdrum/gateway/peering/__init__.py
@@ -1,1 +1,1 @@
-"""Share work in flight and freshness of knowledge with the other daemons."""
+"""Exchange load and configuration status between gateway daemons."""
--- a/src/brassdrum/gateway/peering/directory.py
+++ b/src/brassdrum/gateway/peering/directory.py
@@ -1,4 +1,4 @@
-"""Know other daemons by host, and choose who speaks for the group of a zone; pure decisions."""
+"""Directory of known peers and selection of aggregator candidates; performs no I/O."""
 
 from __future__ import annotations
 
@@ -10,12 +10,11 @@
 
 __all__ = ["PeerDirectory"]
 
-# An address without a sign of life is kept for this long: a daemon starts within a second or two.
+# How long an address is kept before the first message; daemons start within two seconds.
 _UNHEARD_TTL_SECONDS = 20.0
-# Who was heard, or is on the roll of its group, is kept for this long after the last time: as long
-# as a group keeps a silent member.
+# How long a peer is kept after its last message or listing; at least the member timeout.
 _HEARD_TTL_SECONDS = 4.0
-# A daemon that was chosen and stayed silent, or does not hear this one, is left for this long.
+# How long an unresponsive aggregator is not selected again.
 _EXCLUSION_SECONDS = 10.0
 
 
@@ -29,26 +28,26 @@
 
 
 class PeerDirectory:
-    """Keep the daemons that may live; other zones are left to their own ones."""
+    """Track the peers that may be alive, by host."""
 
     def __init__(self, own: DaemonAddress) -> None:
         self.own = own
         self._entry_by_host: dict[str, _Entry] = {}
 
     def add(self, addresses: Iterable[DaemonAddress], now: float) -> None:
-        """Take addresses that others name."""
+        """Add addresses of unconfirmed peers; known peers are unchanged."""
         for address in addresses:
             if address.host == self.own.host or address.host in self._entry_by_host:
                 continue
             self._entry_by_host[address.host] = _Entry(address, now + _UNHEARD_TTL_SECONDS)
 
     def add_live(self, addresses: Iterable[DaemonAddress], now: float) -> None:
-        """Take addresses of daemons that another one has just heard."""
+        """Add addresses of peers that another daemon reports as alive."""
         self.add(addresses, now)
         self.mark_listed((each.host for each in addresses), now)
 
     def mark_heard(self, address: DaemonAddress, now: float, *, leaving: bool = False) -> bool:
-        """Note a sign of life of a daemon; return whether it is the first one."""
+        """Record a message from a peer; return whether it is the first one."""
         if address.host == self.own.host:
             return False
         entry = self._entry_by_host.get(address.host)
@@ -61,7 +60,7 @@
         return first
 
     def mark_listed(self, hosts: Iterable[str], now: float) -> None:
-        """Note that another daemon has heard of hosts lately, as on the roll of a group."""
+        """Extend the lifetime of known hosts that another daemon lists as alive."""
         for host in hosts:
             entry = self._entry_by_host.get(host)
             if entry is None:
@@ -70,40 +69,40 @@
             entry.expires_at = max(entry.expires_at, now + _HEARD_TTL_SECONDS)
 
     def exclude(self, host: str, now: float) -> None:
-        """Do not choose a daemon that stays silent."""
+        """Exclude an unresponsive peer from selection for a while."""
         entry = self._entry_by_host.get(host)
         if entry is not None:
             entry.excluded_until = now + _EXCLUSION_SECONDS
 
     def remove(self, host: str) -> None:
-        """Drop a daemon that has ended."""
+        """Remove a peer that has stopped."""
         self._entry_by_host.pop(host, None)
 
     def expire(self, now: float) -> list[DaemonAddress]:
-        """Drop and return daemons that gave no sign of life for too long."""
+        """Remove and return the peers whose lifetime has expired."""
         silent = [host for host, entry in self._entry_by_host.items() if now > entry.expires_at]
         return [self._entry_by_host.pop(host).address for host in silent]
 
     def address(self, host: str) -> DaemonAddress | None:
-        """Return where a daemon is, if it is known."""
+        """Return the address of the peer on a host, or None if it is unknown."""
         entry = self._entry_by_host.get(host)
         return None if entry is None else entry.address
 
     def addresses(self, zone: str | None = None) -> list[DaemonAddress]:
-        """Return all other daemons, or those of one zone."""
+        """Return the addresses of all peers, or of those in one zone."""
         entries = self._entry_by_host.values()
         return [each.address for each in entries if zone is None or each.address.zone == zone]
 
     def zones(self) -> set[str]:
-        """Return the zones of other daemons."""
+        """Return the zones that have known peers."""
         return {entry.address.zone for entry in self._entry_by_host.values()}
 
     def candidates(self, zone: str, now: float, *, own: bool) -> list[DaemonAddress]:
-        """Return who may speak for a zone, the one to choose first.
+        """Return the aggregator candidates of a zone, most preferred first.
 
-        All daemons that know the same others choose the same one: the one that can carry most, by
-        host among equals. Those that nobody has heard are left out: lists name daemons that are
-        gone. ``own`` says whether this daemon may be chosen.
+        The order is deterministic, so daemons with the same directory select the same one. Peers
+        that nobody has heard from are left out, since address lists can be stale. ``own`` says
+        whether this daemon is eligible.
         """
         candidates = [
             entry.address
@@ -118,13 +117,13 @@
         return sorted(candidates, key=_candidate_order, reverse=True)
 
     def unheard_hosts(self, zone: str) -> list[str]:
-        """Return the hosts of a zone that nobody heard yet, the likeliest speakers first."""
+        """Return the unconfirmed hosts of a zone, most preferred aggregator first."""
         entries = self._entry_by_host.values()
         found = [e.address for e in entries if e.address.zone == zone and not e.heard]
         return [each.host for each in sorted(found, key=_candidate_order, reverse=True)]
 
     def __len__(self) -> int:
-        """Return the number of other daemons."""
+        """Return the number of known peers."""
         return len(self._entry_by_host)
 
 
