--- a/src/brassdrum/gateway/peering/group.py
+++ b/src/brassdrum/gateway/peering/group.py
@@ -1,4 +1,4 @@
-"""Keep the members of a group and what they report; pure decisions."""
+"""Members of an aggregation group and their reported load; performs no I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppliedReport:
-    """Say whether a report is the first of its member."""
+    """Result of applying a report; ``first`` means that the member joined with it."""
 
     first: bool
 
@@ -29,7 +29,7 @@
 
 
 class Group:
-    """Add up what members report; a daemon alone is a group without members."""
+    """Sum the load of the members; an ungrouped daemon is a group without members."""
 
     def __init__(
         self, own_row: Callable[[int], LoadRow], on_changed: Callable[[set[int]], None]
@@ -41,17 +41,17 @@
 
     @property
     def hosts(self) -> list[str]:
-        """Return the hosts of members."""
+        """Return the hosts of the members."""
         return list(self._member_by_host)
 
     @property
     def daemon_count(self) -> int:
-        """Return how many live daemons the group has; those that leave count no more."""
+        """Return the number of live daemons in the group, without those that are leaving."""
         live = sum(1 for each in self._member_by_host.values() if not each.sender.leaving)
         return live + self.includes_own_load
 
     def apply_report(self, report: Report, now: float) -> AppliedReport | None:
-        """Take a member's report; return None for one that came late, or ends the membership."""
+        """Apply a member's report; return None if it is outdated or ends the membership."""
         sender = report.sender
         host = sender.address.host
         known = self._member_by_host.get(host)
@@ -80,7 +80,7 @@
         return AppliedReport(first)
 
     def remove(self, host: str) -> Sender | None:
-        """Drop a member and its work; return who it was."""
+        """Remove a member and its load; return its last sender information."""
         member = self._member_by_host.pop(host, None)
         if member is None:
             return None
@@ -88,16 +88,16 @@
         return member.sender
 
     def silent_hosts(self, now: float, silence: float) -> list[str]:
-        """Return the hosts of members that were silent for a number of seconds."""
+        """Return the hosts of members not heard from for ``silence`` seconds."""
         return [h for h, each in self._member_by_host.items() if now - each.heard_at > silence]
 
     def failing(self, now: float) -> list[FailingWord]:
-        """Return which endpoints members avoid for what they met."""
+        """Return the endpoints that members avoid because of failures they observed."""
         members = self._member_by_host.values()
         return [w for each in members for w in words_left(each.status.failing, now - each.heard_at)]
 
     def recent_failures(self, now: float) -> set[str]:
-        """Return the endpoints at which members have just met a failure."""
+        """Return the endpoints at which members recently observed a failure."""
         members = self._member_by_host.values()
         fresh = [
             each.status.recent_failures for each in members if now - each.heard_at < DOUBT_SECONDS
@@ -105,7 +105,7 @@
         return {endpoint for failures in fresh for endpoint in failures}
 
     def acknowledgements(self, *, every: bool) -> tuple[Acknowledgement, ...]:
-        """Return up to which report members are counted, or only of those with newer ones."""
+        """Return the pending acknowledgements, or with ``every`` those of all members."""
         found = []
         for host, member in self._member_by_host.items():
             if member.acknowledged and not every:
@@ -115,7 +115,7 @@
         return tuple(found)
 
     def total(self, key: int) -> EndpointLoad:
-        """Return the work of the group at one endpoint."""
+        """Return the load of the group at one endpoint."""
         total = self._own_row(key).load if self.includes_own_load else EndpointLoad()
         for member in self._member_by_host.values():
             load = member.load_by_key.get(key)
