--- a/src/brassdrum/gateway/peering/pending_reports.py
+++ b/src/brassdrum/gateway/peering/pending_reports.py
@@ -1,4 +1,4 @@
-"""Report own work until it is acknowledged; pure decisions."""
+"""Retransmission of load rows until the aggregator acknowledges them; performs no I/O."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 __all__ = ["PendingReports"]
 
-# Reports without an acknowledgement that are remembered; at two a second that is half a minute.
+# Half a minute of reports at two a second.
 _MAX_UNACKNOWLEDGED_REPORTS = 64
 
 
 class PendingReports:
-    """Keep which rows the daemon that speaks for the group has not confirmed yet."""
+    """Track the load rows that the aggregator has not acknowledged."""
 
     def __init__(self, own_row: Callable[[int], LoadRow]) -> None:
         self._own_row = own_row
@@ -22,7 +22,7 @@
         self._rows_by_sequence: dict[int, tuple[LoadRow, ...]] = {}
 
     def rows_to_send(self, changed: Iterable[int], sequence: int) -> tuple[LoadRow, ...]:
-        """Return the rows of the report with a sequence number: all that are not confirmed."""
+        """Return all unacknowledged rows, to be sent in the report numbered ``sequence``."""
         for key in changed:
             self._sequence_by_key[key] = sequence
         rows = tuple(quantized(self._own_row(key)) for key in self._sequence_by_key)
@@ -32,7 +32,7 @@
         return rows
 
     def acknowledge(self, sequence: int) -> list[LoadRow]:
-        """Take that reports up to a sequence number are counted; return the rows as counted."""
+        """Drop the reports up to ``sequence``; return their rows as the aggregator counts them."""
         counted: dict[int, LoadRow] = {}
         for number in [number for number in self._rows_by_sequence if number <= sequence]:
             counted.update((row.key, row) for row in self._rows_by_sequence.pop(number))
@@ -41,6 +41,6 @@
         return list(counted.values())
 
     def reset(self) -> None:
-        """Start anew with another daemon, which knows nothing yet."""
+        """Discard all state; the aggregator has none of the rows."""
         self._sequence_by_key.clear()
         self._rows_by_sequence.clear()
