--- a/src/brassdrum/gateway/peering/aggregators.py
+++ b/src/brassdrum/gateway/peering/aggregators.py
@@ -1,4 +1,4 @@
-"""Keep which daemons tell the work of a group, how new their word is and who is silent."""
+"""Aggregators of other groups, ordered by their digests; performs no I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AppliedDigest:
-    """Say what a digest is: ``first`` of its publisher, or of an incarnation that ``began``."""
+    """Result of applying a digest.
+
+    ``first`` means that the aggregator is new, ``restarted`` that its incarnation is.
+    """
 
     first: bool
     restarted: bool
@@ -27,23 +30,23 @@
 
 
 class Aggregators:
-    """Order digests by publisher; earlier incarnations and overtaken ones count no more."""
+    """Track the latest digest of each aggregator; outdated digests are ignored."""
 
     def __init__(self) -> None:
         self._aggregator_by_host: dict[str, _Aggregator] = {}
 
     @property
     def hosts(self) -> list[str]:
-        """Return the hosts of live publishers."""
+        """Return the hosts of the aggregators."""
         return list(self._aggregator_by_host)
 
     @property
     def daemon_count(self) -> int:
-        """Return how many live daemons all groups together have."""
+        """Return the number of live daemons in all their groups."""
         return sum(each.daemon_count for each in self._aggregator_by_host.values())
 
     def apply_digest(self, digest: Digest, now: float) -> AppliedDigest | None:
-        """Note a digest; return None for one that is no news."""
+        """Record a digest; return None if it is outdated."""
         sender = digest.sender
         host = sender.address.host
         known = self._aggregator_by_host.get(host)
@@ -58,21 +61,21 @@
         return AppliedDigest(known is None, began)
 
     def failing(self, now: float) -> list[FailingWord]:
-        """Return which endpoints the daemons of other groups avoid for what they met."""
+        """Return the endpoints that other groups avoid because of failures they observed."""
         others = self._aggregator_by_host.values()
         return [word for each in others for word in words_left(each.failing, now - each.heard_at)]
 
     def name(self, host: str) -> str | None:
-        """Return the name of the publisher on a host."""
+        """Return the name of the aggregator on a host, or None if there is none."""
         known = self._aggregator_by_host.get(host)
         return None if known is None else known.sender.name
 
     def zones(self) -> set[str]:
-        """Return the zones that a publisher speaks for."""
+        """Return the zones that have a known aggregator."""
         return {each.sender.address.zone for each in self._aggregator_by_host.values()}
 
     def count_before(self, name: str) -> int:
-        """Return how many live publishers come before a daemon by name."""
+        """Return how many aggregators that are not leaving sort before ``name``."""
         return sum(
             1
             for each in self._aggregator_by_host.values()
@@ -80,16 +83,16 @@
         )
 
     def live_count(self) -> int:
-        """Return the number of publishers that do not leave."""
+        """Return the number of aggregators that are not leaving."""
         return sum(1 for each in self._aggregator_by_host.values() if not each.sender.leaving)
 
     def remove(self, host: str) -> Sender | None:
-        """Drop a publisher and return who it was."""
+        """Remove an aggregator; return its last sender information."""
         known = self._aggregator_by_host.pop(host, None)
         return None if known is None else known.sender
 
     def expire(self, now: float, silence: float) -> list[Sender]:
-        """Drop and return publishers that were silent for a number of seconds."""
+        """Remove and return the aggregators not heard from for ``silence`` seconds."""
         silent = [
             h for h, each in self._aggregator_by_host.items() if now - each.heard_at > silence
         ]
