--- a/src/brassdrum/gateway/peering/fanout.py
+++ b/src/brassdrum/gateway/peering/fanout.py
@@ -1,4 +1,4 @@
-"""Part the hosts of a group into branches, so that no daemon sends to all; pure decisions."""
+"""Two-level forwarding tree for messages to all members of a group."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 __all__ = ["FanoutBranch", "fanout_branches"]
 
-# Groups of up to this many other daemons are told directly.
+# Groups of up to this many members need no forwarding.
 _MAX_DIRECT_HOSTS = 6
 
 
 @dataclass(frozen=True, slots=True)
 class FanoutBranch:
-    """Name a host to send to, and those that it sends on to."""
+    """A host to send to, and the hosts to which it forwards the message."""
 
     host: str
     forward_to: tuple[str, ...] = ()
 
 
 def fanout_branches(hosts: Sequence[str], rng: random.Random) -> Iterator[FanoutBranch]:
-    """Return whom to send to, so that each host gets one copy and nobody sends many.
+    """Yield branches that reach each host once with about sqrt(n) copies per sender.
 
-    With 38 hosts the sender and each branch send 6 or 7 copies in place of 38. Branches are drawn
-    anew each time: one that is dead costs its hosts a single message.
+    Branches are random on each call, so that a dead forwarder does not cut off the same hosts
+    every time.
     """
     if len(hosts) <= _MAX_DIRECT_HOSTS:
         yield from (FanoutBranch(host) for host in hosts)
@@ -33,5 +33,5 @@
     shuffled = rng.sample(hosts, len(hosts))
     width = math.ceil(math.sqrt(len(shuffled)))
     for start in range(width):
-        first, *onward = shuffled[start::width]
-        yield FanoutBranch(first, tuple(onward))
+        first, *forward_to = shuffled[start::width]
+        yield FanoutBranch(first, tuple(forward_to))
