--- a/src/brassdrum/gateway/peering/wire.py
+++ b/src/brassdrum/gateway/peering/wire.py
@@ -1,4 +1,4 @@
-"""Write and read the fields of datagrams: numbers, texts, addresses and rows of load."""
+"""Encoding of datagram fields: integers, strings, addresses and load rows."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 __all__ = ["FieldReader", "FieldWriter", "quantized"]
 
-# Memory and parts are told in units of this many tokens, so that two bytes hold 4 million.
+# Token counts are encoded in this unit, so that two bytes hold up to 4 million.
 _TOKEN_UNIT = 64
 _MAX_UINT16 = 0xFFFF
 _MAX_UINT8 = 0xFF
-# Which fields of a row follow its key; what is left out is 0, or follows from another field.
+# Flags of the optional fields in a row; an absent field is 0 or implied by another one.
 _READING, _MEMORY, _STREAMED, _CALLS, _HELPING, _PART = 1, 2, 4, 8, 16, 32
 _FORMAT_BY_FLAG = {
     _READING: "H",
@@ -51,24 +51,24 @@
 
 
 class FieldWriter:
-    """Append fields to a datagram."""
+    """Encode the fields of a datagram."""
 
     def __init__(self) -> None:
         self._data = bytearray()
 
     def bytes(self) -> bytes:
-        """Return what was written."""
+        """Return the encoded datagram."""
         return bytes(self._data)
 
     def uint(self, value: int, size: int) -> None:
-        """Append a whole number of 0 or more; too large ones are cut to the largest that fits."""
+        """Append an unsigned integer of ``size`` bytes; larger values saturate."""
         self._data += min(value, (1 << 8 * size) - 1).to_bytes(size, "big")
 
     def text(self, value: str) -> None:
-        """Append a text of at most 255 bytes."""
+        """Append a string of at most 255 UTF-8 bytes."""
         data = value.encode()
         if len(data) > _MAX_UINT8:
-            raise ValueError(f"{value[:40]!r} is too long for a datagram; use at most 255 bytes")
+            raise ValueError(f"string {value[:40]!r} exceeds the limit of 255 bytes")
         self._data.append(len(data))
         self._data += data
 
@@ -77,32 +77,32 @@
         self._data += socket.inet_aton(value)
 
     def hosts(self, values: Sequence[tuple[str, int]], size: int) -> None:
-        """Append addresses, each with a number of a size."""
+        """Append IPv4 addresses, each with an unsigned integer of ``size`` bytes."""
         fields = _HOST_STRUCT_BY_SIZE[size]
-        most = (1 << 8 * size) - 1
+        max_value = (1 << 8 * size) - 1
         self.uint(len(values), 2)
         for host, number in values:
-            self._data += fields.pack(socket.inet_aton(host), min(number, most))
+            self._data += fields.pack(socket.inet_aton(host), min(number, max_value))
 
     def length_prefixed(self, value: bytes) -> None:
-        """Append bytes with their length."""
+        """Append bytes preceded by their length."""
         self.uint(len(value), 2)
         self._data += value
 
     def row(self, row: LoadRow) -> None:
-        """Append a row of load; one of a short stream takes 14 bytes."""
+        """Append a load row; fields with their implied value are omitted."""
         load = row.load
         memory = _token_units(load.memory)
         streamed = _token_units(load.streamed)
         writers = sorted(load.writers_by_pause.items())
-        count = sum(number for _, number in writers)
+        stream_count = sum(number for _, number in writers)
         values = []
         flags = 0
         for flag, value, implied in (
             (_READING, min(_MAX_UINT16, round(load.reading_ms)), 0),
             (_MEMORY, memory, 0),
             (_STREAMED, streamed, memory),
-            (_CALLS, min(_MAX_UINT8, load.calls), count),
+            (_CALLS, min(_MAX_UINT8, load.calls), stream_count),
             (_HELPING, min(_MAX_UINT8, load.helping), 0),
             (_PART, _token_units(load.part_tokens), 0),
         ):
@@ -116,80 +116,82 @@
 
 
 class FieldReader:
-    """Take fields from a datagram; raises ``ValueError`` where it ends too early."""
+    """Decode the fields of a datagram; raises ``ValueError`` if it is truncated."""
 
     def __init__(self, data: bytes) -> None:
         self._data = data
-        self._at = 0
+        self._offset = 0
 
     def exhausted(self) -> bool:
-        """Return whether nothing is left."""
-        return self._at >= len(self._data)
+        """Return whether all bytes have been read."""
+        return self._offset >= len(self._data)
 
     def uint(self, size: int) -> int:
-        """Take a whole number."""
-        return int.from_bytes(self._take(size), "big")
+        """Read an unsigned integer of ``size`` bytes."""
+        return int.from_bytes(self._read(size), "big")
 
     def text(self) -> str:
-        """Take a text."""
-        return self._take(self.uint(1)).decode()
+        """Read a string."""
+        return self._read(self.uint(1)).decode()
 
     def host(self) -> str:
-        """Take an IPv4 address."""
-        return _host_name(self._take(4))
+        """Read an IPv4 address."""
+        return _host_name(self._read(4))
 
     def hosts(self, size: int) -> list[tuple[str, int]]:
-        """Take addresses, each with a number of a size."""
+        """Read IPv4 addresses, each with an unsigned integer of ``size`` bytes."""
         fields = _HOST_STRUCT_BY_SIZE[size]
-        data = self._take(fields.size * self.uint(2))
+        data = self._read(fields.size * self.uint(2))
         return [(_host_name(host), number) for host, number in fields.iter_unpack(data)]
 
     def length_prefixed(self) -> bytes:
-        """Take bytes with their length."""
-        return self._take(self.uint(2))
+        """Read length-prefixed bytes."""
+        return self._read(self.uint(2))
 
     def row(self) -> LoadRow:
-        """Take a row of load; rows that were read before are the same objects."""
-        if self._at + _ROW_HEADER.size > len(self._data):
-            raise ValueError(f"a datagram of {len(self._data)} bytes ends in a row")
-        _, flags, kinds = _ROW_HEADER.unpack_from(self._data, self._at)
+        """Read a load row; equal encodings may return the same object."""
+        if self._offset + _ROW_HEADER.size > len(self._data):
+            raise ValueError(f"datagram of {len(self._data)} bytes is truncated in a load row")
+        _, flags, pause_count = _ROW_HEADER.unpack_from(self._data, self._offset)
         if flags & ~_ALL_FLAGS:
-            raise ValueError(f"a row of load has unknown fields {flags:#x}; run one version")
-        size = _ROW_HEADER.size + _row_fields(flags).size + _WRITER_COUNT.size * kinds
-        return _decode_row(self._take(size))
-
-    def _take(self, size: int) -> bytes:
-        end = self._at + size
+            raise ValueError(
+                f"load row has unknown field flags {flags:#x}; run the same version on all hosts"
+            )
+        size = _ROW_HEADER.size + _row_fields(flags).size + _WRITER_COUNT.size * pause_count
+        return _decode_row(self._read(size))
+
+    def _read(self, size: int) -> bytes:
+        end = self._offset + size
         if end > len(self._data):
-            raise ValueError(f"a datagram of {len(self._data)} bytes ends before byte {end}")
-        taken = self._data[self._at : end]
-        self._at = end
-        return taken
+            raise ValueError(f"datagram of {len(self._data)} bytes is truncated before byte {end}")
+        data = self._data[self._offset : end]
+        self._offset = end
+        return data
 
 
 @lru_cache(maxsize=8192)
 def _decode_row(data: bytes) -> LoadRow:
-    """Return a row; two of three that come were told before, and reading one takes 15 us."""
-    key, flags, kinds = _ROW_HEADER.unpack_from(data)
+    """Decode a row; cached because most received rows repeat earlier ones."""
+    key, flags, pause_count = _ROW_HEADER.unpack_from(data)
     fields = _row_fields(flags)
     values = fields.unpack_from(data, _ROW_HEADER.size)
-    told = dict(zip(_present_flags(flags), values, strict=True))
-    writers = dict(_WRITER_COUNT.iter_unpack(data[len(data) - _WRITER_COUNT.size * kinds :]))
-    memory = told.get(_MEMORY, 0)
+    value_by_flag = dict(zip(_present_flags(flags), values, strict=True))
+    writers = dict(_WRITER_COUNT.iter_unpack(data[len(data) - _WRITER_COUNT.size * pause_count :]))
+    memory = value_by_flag.get(_MEMORY, 0)
     load = EndpointLoad(
-        float(told.get(_READING, 0)),
+        float(value_by_flag.get(_READING, 0)),
         memory * _TOKEN_UNIT,
-        told.get(_STREAMED, memory) * _TOKEN_UNIT,
-        told[_CALLS] if flags & _CALLS else sum(writers.values()),
-        told.get(_HELPING, 0),
+        value_by_flag.get(_STREAMED, memory) * _TOKEN_UNIT,
+        value_by_flag[_CALLS] if flags & _CALLS else sum(writers.values()),
+        value_by_flag.get(_HELPING, 0),
         writers,
-        told.get(_PART, 0) * _TOKEN_UNIT,
+        value_by_flag.get(_PART, 0) * _TOKEN_UNIT,
     )
     return LoadRow(key, load)
 
 
 def quantized(row: LoadRow) -> LoadRow:
-    """Return a row as the other side reads it."""
+    """Return a row as the receiver decodes it."""
     writer = FieldWriter()
     writer.row(row)
     return FieldReader(writer.bytes()).row()
