--- a/src/brassdrum/gateway/peering/peer_messages.py
+++ b/src/brassdrum/gateway/peering/peer_messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other by datagram, and its form on the wire."""
+"""Datagram messages between gateway daemons and their wire encoding."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 ]
 
 _FORMAT_VERSION = 8
-# Ages are told in ms; None before the first read of the store.
+# Encoding of an unknown age; other ages are in ms.
 _NO_AGE = 0xFFFFFFFF
-# Ages of ends are told in ms, so that ends of one moment are known as such; a content is 8 bytes.
+# Ages are in ms, so that simultaneous endpoint crashes are recognised.
 _AGE_BYTES = 3
 _NEVER_SERVED = 0xFFFFFF
 _CONTENT_BYTES = 8
-# A bit for each of the 12 ends that are kept of a content.
+# One bit for each of the up to 12 endpoint crashes kept per request content.
 _BITMASK_BYTES = 2
-# Flags of a digest.
+# Digest flags.
 _LISTS_MEMBERS, _STEPS_DOWN, _COVERS_FLEET = 1, 2, 4
 
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainNotice:
-    """Say that an endpoint leaves, as it was known ``age`` seconds ago."""
+    """An endpoint was found to be draining ``age`` seconds ago."""
 
     endpoint: str
     age: float
@@ -56,10 +56,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """Hold how new a daemon's knowledge is; age in seconds, None before the first read.
+    """Version of a daemon's configuration, and the endpoint failures it observed.
 
-    ``reads`` is the number of the read of the store that it rests on, ``era`` the store's.
-    ``recent_failures`` names endpoints that have just failed a request there, for whatever reason.
+    ``age`` is in seconds, None before the first read of the store. ``reads`` is the number of the
+    store read that the configuration is from, ``era`` the era of the store. ``recent_failures``
+    names endpoints that recently failed a request for any reason.
     """
 
     version: int
@@ -75,7 +76,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Sender:
-    """Say who sends; ``incarnation`` is the ms of its start, ``sequence`` counts its messages."""
+    """Sender of a message.
+
+    ``incarnation`` is its start time in ms, ``sequence`` the number of the message.
+    """
 
     name: str
     address: DaemonAddress
@@ -86,9 +90,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Introduce a daemon; ``asks`` wants an answer of the same kind.
+    """Discovery message; ``wants_reply`` requests another one in return.
 
-    ``known`` are others of the receiver's zone, ``speakers`` those that speak for groups.
+    ``known_daemons`` are peers in the zone of the receiver, ``aggregators`` those of all groups.
     """
 
     sender: Sender
@@ -99,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Tell own work to the daemon that speaks for the group; ``leaves`` ends the membership."""
+    """Load of a member for its aggregator; ``leaves_group`` ends the membership."""
 
     sender: Sender
     status: PeerStatus
@@ -109,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """Say up to which report a member's work is counted."""
+    """Sequence number of the latest report of a member that was applied."""
 
     host: str
     sequence: int
@@ -117,12 +121,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """Tell the work of a group to other groups, or with ``fleet`` that of all to the own members.
+    """Load of a group for other aggregators, or of the whole fleet for the members of the group.
 
-    It is the work of ``daemons`` live daemons in ``speakers`` groups. Rows are those that changed,
-    and all of one ``part`` of ``parts`` of the keys: one of that part that is not listed is empty.
-    ``roll`` says that the acknowledgements list every member, and that ``known`` lists the daemons
-    of the zone and those that speak for others. ``ends`` says that the sender speaks no more.
+    ``rows`` are the changed rows and all rows of one ``partition`` of the keys; a key of that
+    partition without a row has no load. With ``lists_members`` the acknowledgements name every
+    member. ``known_daemons`` are peers in the zone and aggregators of other groups. ``steps_down``
+    says that the sender is no longer an aggregator.
     """
 
     sender: Sender
@@ -141,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardedDigest:
-    """Carry a digest as it was encoded; who gets it sends it on to the hosts named."""
+    """An encoded digest that the receiver also forwards to the given hosts."""
 
     forward_to: tuple[str, ...]
     digest: bytes
@@ -151,7 +155,7 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return a datagram."""
+    """Return the datagram for a message."""
     writer = FieldWriter()
     writer.uint(_FORMAT_VERSION, 1)
     match message:
@@ -180,20 +184,22 @@
 
 
 def decode_message(data: bytes) -> Message:
-    """Return a message, or raise ``ValueError``."""
+    """Return the message in a datagram; raises ``ValueError`` if it is invalid."""
     reader = FieldReader(data)
-    form = reader.uint(1)
-    if form != _FORMAT_VERSION:
-        raise ValueError(f"message format {form} is unknown; run one version on all hosts")
+    version = reader.uint(1)
+    if version != _FORMAT_VERSION:
+        raise ValueError(
+            f"unknown message format version {version}; run the same version on all hosts"
+        )
     match _Kind(reader.uint(1)):
         case _Kind.HELLO:
             sender = _read_sender(reader)
-            asks = bool(reader.uint(1))
-            return Hello(sender, _read_addresses(reader), _read_addresses(reader), asks)
+            wants_reply = bool(reader.uint(1))
+            return Hello(sender, _read_addresses(reader), _read_addresses(reader), wants_reply)
         case _Kind.REPORT:
             sender = _read_sender(reader)
-            leaves = bool(reader.uint(1))
-            return Report(sender, _read_status(reader), _read_rows(reader), leaves)
+            leaves_group = bool(reader.uint(1))
+            return Report(sender, _read_status(reader), _read_rows(reader), leaves_group)
         case _Kind.DIGEST:
             return _read_digest(reader)
         case _Kind.FORWARDED_DIGEST:
@@ -259,7 +265,7 @@
 
 
 def _write_addresses(writer: FieldWriter, addresses: Iterable[DaemonAddress]) -> None:
-    """Append addresses by zone, so that each zone is named once."""
+    """Append addresses grouped by zone, so that each zone name is sent once."""
     by_zone: dict[str, list[DaemonAddress]] = {}
     for each in addresses:
         by_zone.setdefault(each.zone, []).append(each)
@@ -273,17 +279,17 @@
     addresses = []
     for _ in range(reader.uint(1)):
         zone = reader.text()
-        addresses += [DaemonAddress(host, zone, carries) for host, carries in reader.hosts(1)]
+        addresses += [DaemonAddress(host, zone, capacity) for host, capacity in reader.hosts(1)]
     return tuple(addresses)
 
 
 def _write_status(writer: FieldWriter, status: PeerStatus) -> None:
-    # The version before the first configuration is -1.
+    # The version is -1 before the first configuration.
     writer.uint(status.version + 1, 6)
     writer.text(status.digest)
     writer.uint(_NO_AGE if status.age is None else round(status.age * 1000), 4)
     writer.uint(status.reads, 4)
-    # Eras count from 0 or 1; 0 on the wire is none.
+    # 0 stands for no era.
     writer.uint(0 if status.era is None else status.era + 1, 4)
     writer.uint(len(status.failing), 2)
     for each in status.failing:
@@ -298,29 +304,29 @@
     for name in status.recent_failures:
         writer.text(name)
     writer.uint(len(status.endings), 1)
-    for word in status.endings:
-        _write_ending(writer, word)
+    for ending in status.endings:
+        _write_ending(writer, ending)
 
 
-def _write_ending(writer: FieldWriter, word: EndingWord) -> None:
-    """Append what is known of a content; one of three ends takes 37 bytes."""
-    writer.uint(int(word.content, 16), _CONTENT_BYTES)
-    served = (
+def _write_ending(writer: FieldWriter, ending: EndingWord) -> None:
+    """Append the endpoint crashes attributed to one request content."""
+    writer.uint(int(ending.content, 16), _CONTENT_BYTES)
+    served_age_ms = (
         _NEVER_SERVED
-        if word.served_age is None
-        else min(_NEVER_SERVED - 1, _age_ms(word.served_age))
+        if ending.served_age is None
+        else min(_NEVER_SERVED - 1, _age_ms(ending.served_age))
     )
-    writer.uint(served, _AGE_BYTES)
-    writer.uint(len(word.ends), 1)
-    writer.uint(_bitmask(end.soon for end in word.ends), _BITMASK_BYTES)
-    writer.uint(_bitmask(end.lived for end in word.ends), _BITMASK_BYTES)
-    for end in word.ends:
+    writer.uint(served_age_ms, _AGE_BYTES)
+    writer.uint(len(ending.ends), 1)
+    writer.uint(_bitmask(end.soon for end in ending.ends), _BITMASK_BYTES)
+    writer.uint(_bitmask(end.lived for end in ending.ends), _BITMASK_BYTES)
+    for end in ending.ends:
         writer.uint(end.endpoint, 4)
         writer.uint(_age_ms(end.age), _AGE_BYTES)
 
 
 def _bitmask(values: Iterable[bool]) -> int:
-    return sum(value << place for place, value in enumerate(values))
+    return sum(value << bit for bit, value in enumerate(values))
 
 
 def _age_ms(age: float) -> int:
@@ -329,19 +335,21 @@
 
 def _read_ending(reader: FieldReader) -> EndingWord:
     content = f"{reader.uint(_CONTENT_BYTES):0{2 * _CONTENT_BYTES}x}"
-    served = reader.uint(_AGE_BYTES)
+    served_age_ms = reader.uint(_AGE_BYTES)
     count = reader.uint(1)
     soon, lived = reader.uint(_BITMASK_BYTES), reader.uint(_BITMASK_BYTES)
     ends = tuple(
         SeenEnd(
             reader.uint(4),
             reader.uint(_AGE_BYTES) / 1000,
-            bool(soon >> place & 1),
-            bool(lived >> place & 1),
+            bool(soon >> bit & 1),
+            bool(lived >> bit & 1),
         )
-        for place in range(count)
+        for bit in range(count)
+    )
+    return EndingWord(
+        content, ends, None if served_age_ms == _NEVER_SERVED else served_age_ms / 1000
     )
-    return EndingWord(content, ends, None if served == _NEVER_SERVED else served / 1000)
 
 
 def _read_status(reader: FieldReader) -> PeerStatus:
