--- a/src/brassdrum/gateway/peering/peers.py
+++ b/src/brassdrum/gateway/peering/peers.py
@@ -17,9 +17,7 @@
 from brassdrum.gateway.model import DaemonAddress
 from brassdrum.gateway.net.datagrams import Datagrams
 from brassdrum.gateway.net.loop import Timer, Timers
-from brassdrum.gateway.peering.aggregators import Aggregators
 from brassdrum.gateway.peering.directory import PeerDirectory
-from brassdrum.gateway.peering.fanout import fanout_branches
 from brassdrum.gateway.peering.group import Group
 from brassdrum.gateway.peering.peer_messages import (
     Digest,
@@ -32,7 +30,9 @@
     encode_message,
 )
 from brassdrum.gateway.peering.pending_reports import PendingReports
-from brassdrum.gateway.peering.row_publisher import RowPublisher, RowUpdate
+from brassdrum.gateway.peering.publishers import Aggregators
+from brassdrum.gateway.peering.row_teller import RowPublisher, RowUpdate
+from brassdrum.gateway.peering.spreading import fanout_branches
 from brassdrum.gateway.placing.load import LoadTable
 from brassdrum.telemetry import log_events
 
