--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -52,7 +52,7 @@
     for gateway in context.gateways:
         eventually(gateway.ready, f"{gateway.host} is ready")
     eventually(
-        lambda: all(each.daemon._peers.live_count == daemons for each in context.gateways),
+        lambda: all(each.daemon._peers.live == daemons for each in context.gateways),
         "the daemons know each other",
     )
 
--- a/features/steps/peer_group_steps.py
+++ b/features/steps/peer_group_steps.py
@@ -134,7 +134,7 @@
         """Return whether each daemon knows how many live, and one of each zone speaks."""
         speaking = Counter(each.address.zone for each in self.daemons if each.peers.is_aggregator)
         return (
-            all(each.peers.live_count == count for each in self.daemons)
+            all(each.peers.live == count for each in self.daemons)
             and set(speaking.values()) == {1}
             and len(speaking) == self.zones
         )
@@ -156,8 +156,8 @@
 def step_fleet(context, count, zones):
     context.fleet = Fleet(count, zones)
     assert context.fleet.within(
-        5.0, lambda: all(each.peers.live_count == count for each in context.fleet.daemons)
-    ), Counter(each.peers.live_count for each in context.fleet.daemons)
+        5.0, lambda: all(each.peers.live == count for each in context.fleet.daemons)
+    ), Counter(each.peers.live for each in context.fleet.daemons)
 
 
 @then("each knows that {count:d} live, and one daemon of each zone speaks")
@@ -314,7 +314,7 @@
 def step_right_again(context, seconds, count):
     fleet = context.fleet
     assert fleet.within(seconds, lambda: fleet.right() and fleet.live(count)), Counter(
-        each.peers.live_count for each in fleet.daemons
+        each.peers.live for each in fleet.daemons
     )
 
 
@@ -384,7 +384,7 @@
 def step_soon_live(context, seconds, count):
     fleet = context.fleet
     assert fleet.within(seconds, lambda: fleet.live(count)), Counter(
-        each.peers.live_count for each in fleet.daemons
+        each.peers.live for each in fleet.daemons
     )
 
 
@@ -428,7 +428,7 @@
         live = [each for each in fleet.daemons if not each.peers.leaving]
         assert fleet.within(seconds, fleet.right), actions
         assert fleet.within(
-            seconds, lambda: all(each.peers.live_count == len(live) for each in live)
+            seconds, lambda: all(each.peers.live == len(live) for each in live)
         ), actions
 
     holds()
--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -76,7 +76,7 @@
 
     is_aggregator = True
     group_size = 1
-    live_count = 2
+    live = 2
 
     def __init__(self, rank):
         self.rank = rank
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -321,12 +321,12 @@
     def may_repeat(self, service: str) -> bool:
         """Take one repeated send from the shared budget, or return False."""
         assert self._peers is not None
-        return self._budget(service).spend(self.loop.now(), self._peers.live_count)
+        return self._budget(service).spend(self.loop.now(), self._peers.live)
 
     def budget_left(self, service: str) -> float:
         """Return how many repeats this daemon may still send."""
         assert self._peers is not None
-        return self._budget(service).left(self.loop.now(), self._peers.live_count)
+        return self._budget(service).left(self.loop.now(), self._peers.live)
 
     def answer_broke(self, attempt: Attempt, lost: LostRequest) -> None:
         """Find out whether the endpoint has ended, unless it was about to leave."""
--- a/src/brassdrum/gateway/following/follower.py
+++ b/src/brassdrum/gateway/following/follower.py
@@ -220,7 +220,7 @@
         if rank == 0:
             return self._bound * _PACE_SHARE
         if not self._peers.is_aggregator:
-            later = (_MEMBER_SHARE - _LATEST_SHARE) * rank / self._peers.live_count
+            later = (_MEMBER_SHARE - _LATEST_SHARE) * rank / self._peers.live
             return self._bound * (_LATEST_SHARE + later)
         late = 1.0 - math.exp((1 - rank) / _RANKS)
         return self._bound * (_NEXT_SHARE + (_LATEST_SHARE - _NEXT_SHARE) * late)
--- a/src/brassdrum/gateway/measures.py
+++ b/src/brassdrum/gateway/measures.py
@@ -114,7 +114,7 @@
         self._gauge("version", "Version in force.", lambda: knowledge.version)
         self._gauge("known_age", "Seconds since the store was read.", lambda: follower.age() or 0)
         self._gauge("endpoints", "Endpoints known.", lambda: len(knowledge.endpoints_by_id))
-        self._gauge("peers", "Live daemons, this one too.", lambda: sources.peers.live_count)
+        self._gauge("peers", "Live daemons, this one too.", lambda: sources.peers.live)
         self._gauge("peer_bytes", "Bytes of datagrams sent.", lambda: sources.peers.sent_bytes)
         self._gauge("quarantined", "Contents refused.", lambda: sources.guard.quarantined)
         self._gauge("store_calls", "Calls to the store.", lambda: sources.store.calls)
--- a/src/brassdrum/gateway/peering/peers.py
+++ b/src/brassdrum/gateway/peering/peers.py
@@ -137,7 +137,7 @@
         loop.call_later(_DISCOVERY_SECONDS, self._probe_zone)
 
     @property
-    def live_count(self) -> int:
+    def live(self) -> int:
         """Return the number of live daemons, including this one."""
         if not self.is_aggregator and self._aggregator_state.daemon_count:
             return self._aggregator_state.daemon_count
@@ -215,7 +215,7 @@
     # Timers.
 
     def _flush_scale(self) -> float:
-        return max(1.0, self.live_count / _MAX_DAEMONS_AT_MIN_FLUSH)
+        return max(1.0, self.live / _MAX_DAEMONS_AT_MIN_FLUSH)
 
     def _heartbeat_seconds(self) -> float:
         if not self.is_aggregator:
@@ -278,7 +278,7 @@
         now = self._loop.now()
         if not self._discovery_done:
             return
-        known = max(self.live_count, 1 + len(self._directory))
+        known = max(self.live, 1 + len(self._directory))
         margin = _GROUPING_HYSTERESIS_DAEMONS if self._grouped else 0
         self._grouped = known > _MAX_UNGROUPED_DAEMONS - margin
         aggregator = self._own.host
@@ -305,7 +305,7 @@
             speaker=aggregator,
             before=previous,
             known=len(self._directory),
-            live=self.live_count,
+            live=self.live,
         )
         if not self.is_aggregator:
             self._send_report()
@@ -415,7 +415,7 @@
         return Digest(
             self._next_sender(),
             self._group_status(fleet=fleet),
-            self.live_count if fleet else self._group.daemon_count,
+            self.live if fleet else self._group.daemon_count,
             1 + self._aggregators.live_count(),
             fleet,
             update.rows,
