--- a/features/peer_groups.feature
+++ b/features/peer_groups.feature
@@ -1,86 +1,86 @@
-Feature: Work in flight is shared between many daemons at a cost that stays flat
+Feature: Peers exchange load in groups, at a cost per daemon that does not grow with the fleet
 
-  Real peers in simulated time on a simulated network. Daemons of a zone report to one of them, which
-  tells the other zones' ones and its own; small fleets tell each other directly.
+  The peers run in simulated time on a simulated network. In a large fleet, the daemons of a zone
+  report to an aggregator, which exchanges load with the others. Small fleets are ungrouped.
 
-  Scenario: A small fleet has no groups: a change goes to each other daemon in one datagram
-    Given 9 daemons in 3 zones that know each other
-    When one of them begins a request
-    Then all count it once within 0.02 seconds
+  Scenario: In an ungrouped fleet a change takes one datagram per peer
+    Given 9 connected daemons in 3 zones
+    When one of them starts a request
+    Then all daemons count it once within 0.02 seconds
     And that daemon sent at most 8 datagrams for it
 
-  Scenario: A large fleet learns of a request everywhere, and of its end
-    Given 195 daemons in 5 zones that know each other
-    Then each knows that 195 live, and one daemon of each zone speaks
-    When one of them begins a request
-    Then all count it once within 0.4 seconds
+  Scenario: In a grouped fleet the start and the end of a request reach all daemons
+    Given 195 connected daemons in 5 zones
+    Then all daemons see 195 live ones and one aggregator per zone
+    When one of them starts a request
+    Then all daemons count it once within 0.4 seconds
     When that request ends
-    Then nobody counts it after 0.4 seconds
+    Then no daemon counts it after 0.4 seconds
 
-  Scenario: What a daemon sends and gets for its requests does not grow with the fleet
-    Given fleets of 30 and of 195 daemons with a request a second each for 4 seconds
-    Then one of the large fleet gets at most 1.5 times the datagrams of one of the small fleet
-    And none of the large fleet sends more than 20 times the bytes of the middle one
-    And the middle one of the large fleet gets at most 13 KB a second
+  Scenario: The traffic per daemon does not grow with the fleet
+    Given fleets of 30 and 195 daemons that each start a request a second for 4 seconds
+    Then the large fleet receives at most 1.5 times the median datagrams of the small one
+    And no daemon of the large fleet sends more than 20 times the median bytes
+    And the median daemon of the large fleet receives at most 13 KB per second
 
-  Scenario: What one daemon met at an endpoint is known in all zones, and told by nobody else for it
-    Given 60 daemons in 3 zones that know each other
-    When a daemon that does not speak avoids an endpoint for 0.8 seconds
-    Then all others have heard of it within 0.3 seconds
-    And nobody tells of it after 2 seconds
+  Scenario: An endpoint failure seen by one daemon reaches all zones and does not circulate
+    Given 60 connected daemons in 3 zones
+    When a group member avoids an endpoint for 0.8 seconds
+    Then all daemons avoid it within 0.3 seconds
+    And no daemon receives reports of it after 2 seconds
 
-  Scenario Outline: A zone goes on when the daemon that speaks for it <trouble>
-    Given 60 daemons in 3 zones that know each other
+  Scenario Outline: A zone gets another aggregator when the current one <failure>
+    Given 60 connected daemons in 3 zones
     And each of them has a request in flight
-    When the daemon that speaks for the first zone <trouble>
-    Then within <seconds> seconds another one speaks and all counts are right
+    When the aggregator of the first zone <failure>
+    Then within <seconds> seconds the zone has another aggregator and all counts are correct
 
     Examples:
-      | trouble                        | seconds |
-      | is cut off                     | 6       |
-      | dies                           | 6       |
-      | begins its planned stop        | 1       |
-      | is not heard by its members    | 8       |
-      | does not hear its members      | 8       |
+      | failure                         | seconds |
+      | is partitioned                  | 6       |
+      | crashes                         | 6       |
+      | begins its planned stop         | 1       |
+      | cannot send to its members      | 8       |
+      | cannot receive from its members | 8       |
 
-  Scenario: A daemon that speaks and was frozen counts nothing twice when it wakes
-    Given 60 daemons in 3 zones that know each other
+  Scenario: An aggregator that reconnects after a partition counts no load twice
+    Given 60 connected daemons in 3 zones
     And each of them has a request in flight
-    When the daemon that speaks for the first zone is cut off for 6 seconds
-    Then within 12 seconds all counts are right and each knows that 60 live
+    When the aggregator of the first zone is partitioned for 6 seconds
+    Then within 12 seconds all counts are correct and all daemons see 60 live ones
 
-  Scenario: A daemon that starts again under its address starts from nothing
-    Given 60 daemons in 3 zones that know each other
+  Scenario: A daemon that restarts under the same address starts without load
+    Given 60 connected daemons in 3 zones
     And each of them has a request in flight
-    When a daemon that does not speak starts again
-    Then within 2 seconds its request counts nowhere and its new one counts once
+    When a group member restarts
+    Then within 2 seconds its old request is not counted and its new one is counted once
 
-  Scenario: One datagram in ten is lost
-    Given 60 daemons in 3 zones that know each other
+  Scenario: Counts converge despite datagram loss
+    Given 60 connected daemons in 3 zones
     And one datagram in 10 is lost
     And each of them has a request in flight
-    Then within 4 seconds all counts are right
+    Then within 4 seconds all counts are correct
 
-  Scenario: All daemons start at once, and the platform's list names many that are gone
-    Given 60 daemons that start at once with a list that names 30 dead ones
-    Then within 6 seconds each knows that 60 live, and one daemon of each zone speaks
+  Scenario: All daemons start at once with a stale address list
+    Given 60 daemons that start at once with a list of 30 dead ones
+    Then within 6 seconds all daemons see 60 live ones and one aggregator per zone
 
-  Scenario: Regions lose each other and find each other again
-    Given 60 daemons in 3 zones that know each other
+  Scenario: Zones reconnect after a network partition
+    Given 60 connected daemons in 3 zones
     And each of them has a request in flight
-    When the first zone cannot reach the others for 10 seconds
-    Then within 3 seconds all counts are right and each knows that 60 live
+    When the first zone is partitioned from the others for 10 seconds
+    Then within 3 seconds all counts are correct and all daemons see 60 live ones
 
-  Scenario: Whatever happens in whatever order, counts are right a while after it
-    Then random requests, cuts, deaths, starts and losses leave right counts after 12 seconds
+  Scenario: Counts converge after random events
+    Then counts converge 12 seconds after random requests, failures, restarts and losses
 
-  Scenario Outline: A message for <hosts> hosts reaches each once, and nobody sends more than <most>
-    Then <hosts> hosts are parted into branches of which none sends more than <most> copies
+  Scenario Outline: A message to <hosts> hosts takes at most <max_copies> copies per sender
+    Then a fan-out reaches <hosts> hosts once with at most <max_copies> copies per sender
 
     Examples:
-      | hosts | most |
-      | 0     | 0    |
-      | 5     | 5    |
-      | 6     | 6    |
-      | 38    | 7    |
-      | 99    | 10   |
+      | hosts | max_copies |
+      | 0     | 0          |
+      | 5     | 5          |
+      | 6     | 6          |
+      | 38    | 7          |
+      | 99    | 10         |
--- a/features/steps/peer_group_steps.py
+++ b/features/steps/peer_group_steps.py
@@ -1,4 +1,4 @@
-"""Steps on peers in simulated time: who speaks for whom, and what each counts."""
+"""Steps for peers in simulated time: aggregator selection and load counts."""
 
 import random
 import statistics
@@ -18,21 +18,21 @@
 from brassdrum.gateway.peering.spreading import fanout_branches
 from brassdrum.gateway.placing.load import LoadTable, Share
 
-ENGINES = 20
-MEMORY = 6400
+ENGINE_COUNT = 20
+REQUEST_TOKENS = 6400
 
 
 class Daemon:
-    """Hold one daemon's peers and work."""
+    """A daemon with its peers and its requests in flight."""
 
     def __init__(self, fleet, number, zones, incarnation=1):
         self.number = number
         self.incarnation = incarnation
         self.address = DaemonAddress(f"10.{number % zones}.0.{number}", f"zone-{number % zones}")
-        self.loop = SlowedLoop(fleet.loop)
+        self.loop = StoppableLoop(fleet.loop)
         self.table = LoadTable()
         self.suspicions = Suspicions()
-        self.heard_at = []
+        self.notice_times = []
         self.requests = {}
         self.peers = Peers(
             self.loop,
@@ -45,19 +45,19 @@
                 1, "abc", 0.0, 1, failing=tuple(self.suspicions.words(self.loop.now()))
             ),
             lambda *_: None,
-            self._heard_word,
+            self._handle_notices,
             random.Random(number),
         )
         self.peers.add_seed("10.0.0.0")
 
-    def _heard_word(self, _host, belief):
-        for word in belief.failing:
-            self.suspicions.heard(word, self.loop.now())
-            self.heard_at.append(self.loop.now())
+    def _handle_notices(self, _host, status):
+        for notice in status.failing:
+            self.suspicions.heard(notice, self.loop.now())
+            self.notice_times.append(self.loop.now())
 
     def begin(self, name, engine):
-        """Begin a request at an engine."""
-        share = Share(engine, 0.0, MEMORY, 250)
+        """Start a request at an engine."""
+        share = Share(engine, 0.0, REQUEST_TOKENS, 250)
         self.table.start(name, [share], self.loop.now(), 10.0)
         self.requests[name] = engine
         self.peers.load_changed()
@@ -69,24 +69,24 @@
         self.peers.load_changed()
 
 
-class SlowedLoop:
-    """Stand between a daemon and the loop, so that it can die."""
+class StoppableLoop:
+    """Event loop of one daemon, which can be stopped to simulate a crash."""
 
     def __init__(self, loop):
         self._loop = loop
-        self.dead = False
+        self.stopped = False
 
     def now(self):
-        """Return simulated seconds."""
+        """Return the simulated time in seconds."""
         return self._loop.now()
 
     def call_later(self, seconds, callback):
-        """Call a function unless the daemon is dead by then."""
-        return self._loop.call_later(seconds, lambda: None if self.dead else callback())
+        """Schedule a callback that does nothing once the loop is stopped."""
+        return self._loop.call_later(seconds, lambda: None if self.stopped else callback())
 
 
 class Fleet:
-    """Hold all daemons of one scenario."""
+    """The daemons of a scenario and their simulated network."""
 
     def __init__(self, count, zones, seconds=5.0):
         self.loop = SimulatedLoop()
@@ -95,27 +95,27 @@
         self.daemons = [Daemon(self, number, zones) for number in range(count)]
         self.loop.advance(seconds)
 
-    def expected(self):
-        """Return the streams at each engine that are in flight."""
+    def expected_counts(self):
+        """Return the number of requests in flight at each engine."""
         return Counter(engine for each in self.daemons for engine in each.requests.values())
 
-    def counted(self, daemon):
-        """Return the streams at each engine as one daemon counts them."""
-        names = {f"engine-{number}" for number in range(ENGINES)} | set(self.expected())
+    def counts_of(self, daemon):
+        """Return the number of requests at each engine as counted by one daemon."""
+        names = {f"engine-{number}" for number in range(ENGINE_COUNT)} | set(self.expected_counts())
         totals = {name: daemon.table.total(name) for name in names}
         return Counter({name: load.writers for name, load in totals.items() if load.writers})
 
     def right(self):
-        """Return whether all count what is in flight, and its memory."""
-        expected = self.expected()
-        return all(self.counted(each) == expected for each in self.daemons) and all(
-            each.table.total(name).memory == count * MEMORY
+        """Return whether all daemons count the requests in flight and their memory."""
+        expected = self.expected_counts()
+        return all(self.counts_of(each) == expected for each in self.daemons) and all(
+            each.table.total(name).memory == count * REQUEST_TOKENS
             for each in self.daemons
             for name, count in expected.items()
         )
 
     def within(self, seconds, holds):
-        """Return whether something comes to hold in time."""
+        """Advance the time until a condition holds; return whether it does in time."""
         end = self.loop.now() + seconds
         while not holds():
             if self.loop.now() >= end:
@@ -123,36 +123,38 @@
             self.loop.advance(0.01)
         return True
 
-    def speaker(self, zone):
-        """Return the daemon that speaks for a zone."""
+    def aggregator_of(self, zone):
+        """Return the aggregator of a zone."""
         (found,) = [
             each for each in self.daemons if each.peers.is_aggregator and each.address.zone == zone
         ]
         return found
 
-    def live(self, count):
-        """Return whether each daemon knows how many live, and one of each zone speaks."""
-        speaking = Counter(each.address.zone for each in self.daemons if each.peers.is_aggregator)
+    def has_converged(self, count):
+        """Return whether all daemons see ``count`` live ones and each zone has one aggregator."""
+        aggregators = Counter(
+            each.address.zone for each in self.daemons if each.peers.is_aggregator
+        )
         return (
             all(each.peers.live == count for each in self.daemons)
-            and set(speaking.values()) == {1}
-            and len(speaking) == self.zones
+            and set(aggregators.values()) == {1}
+            and len(aggregators) == self.zones
         )
 
-    def kill(self, daemon):
-        """End a daemon without a word."""
-        daemon.loop.dead = True
+    def crash(self, daemon):
+        """Stop a daemon without any message."""
+        daemon.loop.stopped = True
         self.network.leave(daemon.address.host)
         self.daemons.remove(daemon)
 
-    def start_again(self, daemon):
-        """Start a daemon under the address of one that died."""
-        fresh = Daemon(self, daemon.number, self.zones, daemon.incarnation + 1)
-        self.daemons.append(fresh)
-        return fresh
+    def restart(self, daemon):
+        """Start a daemon under the address of a crashed one."""
+        restarted = Daemon(self, daemon.number, self.zones, daemon.incarnation + 1)
+        self.daemons.append(restarted)
+        return restarted
 
 
-@given("{count:d} daemons in {zones:d} zones that know each other")
+@given("{count:d} connected daemons in {zones:d} zones")
 def step_fleet(context, count, zones):
     context.fleet = Fleet(count, zones)
     assert context.fleet.within(
@@ -160,25 +162,25 @@
     ), Counter(each.peers.live for each in context.fleet.daemons)
 
 
-@then("each knows that {count:d} live, and one daemon of each zone speaks")
+@then("all daemons see {count:d} live ones and one aggregator per zone")
 def step_live(context, count):
-    assert context.fleet.live(count)
+    assert context.fleet.has_converged(count)
 
 
-@when("one of them begins a request")
+@when("one of them starts a request")
 def step_begin(context):
     context.one = context.fleet.daemons[-1]
     context.before = context.one.peers.sent_datagrams
     context.one.begin("request", "engine-3")
 
 
-@then("all count it once within {seconds:g} seconds")
-def step_seen(context, seconds):
+@then("all daemons count it once within {seconds:g} seconds")
+def step_counted(context, seconds):
     assert context.fleet.within(seconds, context.fleet.right)
 
 
 @then("that daemon sent at most {count:d} datagrams for it")
-def step_few(context, count):
+def step_max_datagrams(context, count):
     assert context.one.peers.sent_datagrams - context.before <= count
 
 
@@ -187,18 +189,18 @@
     context.one.end("request")
 
 
-@then("nobody counts it after {seconds:g} seconds")
-def step_gone(context, seconds):
+@then("no daemon counts it after {seconds:g} seconds")
+def step_not_counted(context, seconds):
     assert context.fleet.within(seconds, context.fleet.right)
 
 
-@given("fleets of {small:d} and of {large:d} daemons with a request a second each for 4 seconds")
+@given("fleets of {small:d} and {large:d} daemons that each start a request a second for 4 seconds")
 def step_two_fleets(context, small, large):
     context.fleets = [busy_fleet(small, 3), busy_fleet(large, 5)]
 
 
 def busy_fleet(count, zones):
-    """Return what each host sent and got in a second, while each daemon has a request a second."""
+    """Return the traffic of each host per second, with one request a second per daemon."""
     fleet = Fleet(count, zones)
     before = {host: (t.got, t.got_bytes, t.sent_bytes) for host, t in traffic(fleet)}
     rng = random.Random(count)
@@ -224,26 +226,26 @@
 
 
 def traffic(fleet):
-    """Return the traffic by host."""
+    """Return the traffic counters by host."""
     return list(fleet.network.traffic_by_host.items())
 
 
-@then("one of the large fleet gets at most {times:g} times the datagrams of one of the small fleet")
-def step_flat(context, times):
+@then("the large fleet receives at most {times:g} times the median datagrams of the small one")
+def step_median_datagrams(context, times):
     small, large = (
         statistics.median(got for got, _, _ in fleet.values()) for fleet in context.fleets
     )
     assert large <= times * small, (small, large)
 
 
-@then("none of the large fleet sends more than {times:g} times the bytes of the middle one")
-def step_busiest(context, times):
+@then("no daemon of the large fleet sends more than {times:g} times the median bytes")
+def step_max_bytes(context, times):
     sent = [each[2] for each in context.fleets[1].values()]
     assert max(sent) <= times * statistics.median(sent), (max(sent), statistics.median(sent))
 
 
-@then("the middle one of the large fleet gets at most {kilobytes:g} KB a second")
-def step_bytes(context, kilobytes):
+@then("the median daemon of the large fleet receives at most {kilobytes:g} KB per second")
+def step_median_bytes(context, kilobytes):
     got = statistics.median(each[1] for each in context.fleets[1].values())
     assert got <= kilobytes * 1000, got
 
@@ -251,115 +253,122 @@
 @given("each of them has a request in flight")
 def step_all_busy(context):
     for daemon in context.fleet.daemons:
-        daemon.begin("request", f"engine-{daemon.number % ENGINES}")
+        daemon.begin("request", f"engine-{daemon.number % ENGINE_COUNT}")
     if not context.fleet.network.loss:
         assert context.fleet.within(1.0, context.fleet.right)
 
 
-@when("the daemon that speaks for the first zone {trouble}")
-def step_trouble(context, trouble):
+@when("the aggregator of the first zone {failure}")
+def step_aggregator_failure(context, failure):
     fleet = context.fleet
-    speaker = context.speaker = fleet.speaker("zone-0")
-    host = speaker.address.host
-    others = [each.address.host for each in fleet.daemons if each is not speaker]
-    if trouble == "is cut off":
+    aggregator = context.aggregator = fleet.aggregator_of("zone-0")
+    host = aggregator.address.host
+    others = [each.address.host for each in fleet.daemons if each is not aggregator]
+    if failure == "is partitioned":
         fleet.network.cut.add(host)
-        fleet.daemons.remove(speaker)
-    elif trouble == "dies":
-        fleet.kill(speaker)
-    elif trouble == "begins its planned stop":
-        speaker.peers.leaving = True
-        speaker.peers.announce()
-    elif trouble == "is not heard by its members":
-        near = [h for h in others if h.startswith("10.0.")]
-        fleet.network.cut_ways |= {(host, other) for other in near}
-        fleet.daemons.remove(speaker)
-    elif trouble == "does not hear its members":
-        near = [h for h in others if h.startswith("10.0.")]
-        fleet.network.cut_ways |= {(other, host) for other in near}
-        fleet.daemons.remove(speaker)
+        fleet.daemons.remove(aggregator)
+    elif failure == "crashes":
+        fleet.crash(aggregator)
+    elif failure == "begins its planned stop":
+        aggregator.peers.leaving = True
+        aggregator.peers.announce()
+    elif failure == "cannot send to its members":
+        local_hosts = [h for h in others if h.startswith("10.0.")]
+        fleet.network.cut_ways |= {(host, other) for other in local_hosts}
+        fleet.daemons.remove(aggregator)
+    elif failure == "cannot receive from its members":
+        local_hosts = [h for h in others if h.startswith("10.0.")]
+        fleet.network.cut_ways |= {(other, host) for other in local_hosts}
+        fleet.daemons.remove(aggregator)
     else:
-        assert trouble == "is cut off for 6 seconds"
+        assert failure == "is partitioned for 6 seconds"
         fleet.network.cut.add(host)
         fleet.loop.advance(6.0)
         fleet.network.cut.remove(host)
 
 
-@then("within {seconds:g} seconds another one speaks and all counts are right")
-def step_another(context, seconds):
+@then("within {seconds:g} seconds the zone has another aggregator and all counts are correct")
+def step_other_aggregator(context, seconds):
     fleet = context.fleet
 
     def holds():
-        speaking = [each for each in fleet.daemons if each.peers.is_aggregator]
-        zones = {each.address.zone for each in speaking if each is not context.speaker}
-        return zones == {"zone-0", "zone-1", "zone-2"} and counts_without(fleet, context.speaker)
+        aggregators = [each for each in fleet.daemons if each.peers.is_aggregator]
+        zones = {each.address.zone for each in aggregators if each is not context.aggregator}
+        return zones == {"zone-0", "zone-1", "zone-2"} and counts_correct_without(
+            fleet, context.aggregator
+        )
 
     assert fleet.within(seconds, holds), [
-        (each.address.host, fleet.counted(each) - fleet.expected()) for each in fleet.daemons
+        (each.address.host, fleet.counts_of(each) - fleet.expected_counts())
+        for each in fleet.daemons
     ]
 
 
-def counts_without(fleet, speaker):
-    """Return whether all count the work of all daemons that can be reached.
+def counts_correct_without(fleet, aggregator):
+    """Return whether all daemons count the load of all reachable daemons.
 
-    A speaker whose way to its members is cut one way only may still be heard by other zones.
+    Other zones may still hear from an aggregator that lost its members in one direction.
     """
-    with_it = fleet.expected()
-    with_it.update(speaker.requests.values() if speaker not in fleet.daemons else ())
-    allowed = (fleet.expected(), with_it)
-    return all(fleet.counted(each) in allowed for each in fleet.daemons)
+    with_aggregator = fleet.expected_counts()
+    with_aggregator.update(aggregator.requests.values() if aggregator not in fleet.daemons else ())
+    allowed = (fleet.expected_counts(), with_aggregator)
+    return all(fleet.counts_of(each) in allowed for each in fleet.daemons)
 
 
-@then("within {seconds:g} seconds all counts are right and each knows that {count:d} live")
-def step_right_again(context, seconds, count):
+@then("within {seconds:g} seconds all counts are correct and all daemons see {count:d} live ones")
+def step_correct_and_live(context, seconds, count):
     fleet = context.fleet
-    assert fleet.within(seconds, lambda: fleet.right() and fleet.live(count)), Counter(
+    assert fleet.within(seconds, lambda: fleet.right() and fleet.has_converged(count)), Counter(
         each.peers.live for each in fleet.daemons
     )
 
 
-@then("within {seconds:g} seconds all counts are right")
-def step_right(context, seconds):
+@then("within {seconds:g} seconds all counts are correct")
+def step_correct(context, seconds):
     assert context.fleet.within(seconds, context.fleet.right)
 
 
-@when("a daemon that does not speak avoids an endpoint for 0.8 seconds")
-def step_avoids(context):
+@when("a group member avoids an endpoint for 0.8 seconds")
+def step_member_avoids(context):
     fleet = context.fleet
     context.avoiding = next(each for each in fleet.daemons if not each.peers.is_aggregator)
     assert context.avoiding.suspicions.failed("a", fleet.loop.now(), certain=True)
     context.avoiding.begin("r", "b")
 
 
-@then("all others have heard of it within {seconds:g} seconds")
-def step_heard_of(context, seconds):
+@then("all daemons avoid it within {seconds:g} seconds")
+def step_all_avoid(context, seconds):
     fleet = context.fleet
     fleet.loop.advance(seconds)
     now = fleet.loop.now()
-    deaf = [each for each in fleet.daemons if not each.suspicions.suspect("a", now)]
-    assert not deaf, [each.address for each in deaf]
+    unaware = [each for each in fleet.daemons if not each.suspicions.suspect("a", now)]
+    assert not unaware, [each.address for each in unaware]
 
 
-@then("nobody tells of it after {seconds:g} seconds")
-def step_silent_after(context, seconds):
+@then("no daemon receives reports of it after {seconds:g} seconds")
+def step_no_reports_after(context, seconds):
     fleet = context.fleet
     fleet.loop.advance(seconds)
     now = fleet.loop.now()
-    late = [each.address for each in fleet.daemons if each.heard_at and each.heard_at[-1] > now - 1]
+    late = [
+        each.address
+        for each in fleet.daemons
+        if each.notice_times and each.notice_times[-1] > now - 1
+    ]
     assert not late, late
 
 
-@when("a daemon that does not speak starts again")
-def step_start_again(context):
+@when("a group member restarts")
+def step_restart(context):
     fleet = context.fleet
     daemon = next(each for each in fleet.daemons if not each.peers.is_aggregator)
-    fleet.kill(daemon)
-    context.one = fleet.start_again(daemon)
+    fleet.crash(daemon)
+    context.one = fleet.restart(daemon)
     fleet.loop.advance(0.5)
     context.one.begin("new", "engine-7")
 
 
-@then("within {seconds:g} seconds its request counts nowhere and its new one counts once")
+@then("within {seconds:g} seconds its old request is not counted and its new one is counted once")
 def step_new_counts(context, seconds):
     assert context.fleet.within(seconds, context.fleet.right)
 
@@ -369,7 +378,7 @@
     context.fleet.network.loss = 1 / count
 
 
-@given("{count:d} daemons that start at once with a list that names {dead:d} dead ones")
+@given("{count:d} daemons that start at once with a list of {dead:d} dead ones")
 def step_start_listed(context, count, dead):
     context.fleet = fleet = Fleet(count, 3, seconds=0.0)
     listed = [DaemonAddress(f"10.{n % 3}.9.{n}", f"zone-{n % 3}", 9) for n in range(dead)]
@@ -378,25 +387,23 @@
         daemon.peers.add_addresses(listed)
 
 
-@then(
-    "within {seconds:g} seconds each knows that {count:d} live, and one daemon of each zone speaks"
-)
+@then("within {seconds:g} seconds all daemons see {count:d} live ones and one aggregator per zone")
 def step_soon_live(context, seconds, count):
     fleet = context.fleet
-    assert fleet.within(seconds, lambda: fleet.live(count)), Counter(
+    assert fleet.within(seconds, lambda: fleet.has_converged(count)), Counter(
         each.peers.live for each in fleet.daemons
     )
 
 
-@when("the first zone cannot reach the others for {seconds:g} seconds")
+@when("the first zone is partitioned from the others for {seconds:g} seconds")
 def step_zone_cut(context, seconds):
     fleet = context.fleet
-    near = [each.address.host for each in fleet.daemons if each.address.zone == "zone-0"]
-    far = [each.address.host for each in fleet.daemons if each.address.zone != "zone-0"]
-    ways = {way for a in near for b in far for way in ((a, b), (b, a))}
-    fleet.network.cut_ways |= ways
+    local_hosts = [each.address.host for each in fleet.daemons if each.address.zone == "zone-0"]
+    remote_hosts = [each.address.host for each in fleet.daemons if each.address.zone != "zone-0"]
+    links = {link for a in local_hosts for b in remote_hosts for link in ((a, b), (b, a))}
+    fleet.network.cut_ways |= links
     fleet.loop.advance(seconds)
-    fleet.network.cut_ways -= ways
+    fleet.network.cut_ways -= links
 
 
 ACTIONS = st.lists(
@@ -409,11 +416,9 @@
 )
 
 
-@then(
-    "random requests, cuts, deaths, starts and losses leave right counts after {seconds:g} seconds"
-)
+@then("counts converge {seconds:g} seconds after random requests, failures, restarts and losses")
 def step_random(context, seconds):
-    phases = (Phase.explicit, Phase.generate)  # Shrinking plays each fleet again for minutes.
+    phases = (Phase.explicit, Phase.generate)  # Shrinking would take minutes.
 
     @settings(max_examples=20, deadline=None, database=None, derandomize=True, phases=phases)
     @for_all(ACTIONS)
@@ -435,7 +440,7 @@
 
 
 def act(fleet, dead, action, which, number):
-    """Do one thing to one daemon of a fleet."""
+    """Apply one random event to a fleet."""
     daemon = fleet.daemons[which % len(fleet.daemons)]
     if action == "begin":
         daemon.begin(f"request-{number}", f"engine-{which}")
@@ -446,10 +451,10 @@
     elif action == "heal":
         fleet.network.cut.clear()
     elif action == "kill" and len(fleet.daemons) > 6:
-        fleet.kill(daemon)
+        fleet.crash(daemon)
         dead.append(daemon)
     elif action == "start" and dead:
-        fleet.start_again(dead.pop())
+        fleet.restart(dead.pop())
     elif action == "stop":
         daemon.peers.leaving = True
         daemon.peers.announce()
@@ -457,13 +462,13 @@
         fleet.network.loss = 0.1
 
 
-@then("{hosts:d} hosts are parted into branches of which none sends more than {most:d} copies")
-def step_branches(context, hosts, most):
+@then("a fan-out reaches {hosts:d} hosts once with at most {max_copies:d} copies per sender")
+def step_fanout(context, hosts, max_copies):
     names = [f"10.0.0.{number}" for number in range(hosts)]
     rng = random.Random(1)
     for _ in range(50):
         found = list(fanout_branches(names, rng))
         reached = [each.host for each in found] + [h for each in found for h in each.forward_to]
         assert sorted(reached) == sorted(names)
-        assert len(found) <= most
-        assert all(len(each.forward_to) <= most for each in found)
+        assert len(found) <= max_copies
+        assert all(len(each.forward_to) <= max_copies for each in found)
