--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -150,7 +150,7 @@
             self._random,
         )
         for host in settings.seeds:
-            self._peers.introduce(host)
+            self._peers.add_seed(host)
         self._follower.start(self._peers, self._announce)
         peers = self._peers
         self.guard.start(self._store, self._follower.submit, lambda: peers.rank == 0)
@@ -338,7 +338,7 @@
         """Look at the waiting requests, and tell peers soon."""
         assert self._peers is not None
         self.wait_queue.schedule_review()
-        self._peers.changed()
+        self._peers.load_changed()
 
     def log_decision(self, event: LogEvent, **values: object) -> None:
         """Log a decision that touches a request."""
@@ -383,7 +383,7 @@
         self.beliefs.endpoint_failed(entry.id, certain=True, detail="its process has ended")
         self.guard.endpoint_ended(entry, witnesses)
         assert self._peers is not None
-        self._peers.changed()
+        self._peers.load_changed()
         self.metrics.endpoint_ended()
         log_events.ENDPOINT_ENDED.write(
             _logger,
--- a/src/brassdrum/gateway/peering/group.py
+++ b/src/brassdrum/gateway/peering/group.py
@@ -1,4 +1,4 @@
-"""Keep the members of a group and what they report; pure decisions."""
+"""Members of an aggregation group and their reported load; performs no I/O."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from dataclasses import dataclass, field
 
 from brassdrum.gateway.following.suspicion import DOUBT_SECONDS, FailingWord, words_left
-from brassdrum.gateway.peering.peer_messages import Acknowledgement, PeerBelief, Report, Sender
+from brassdrum.gateway.peering.peer_messages import Acknowledgement, PeerStatus, Report, Sender
 from brassdrum.gateway.placing.load import EndpointLoad, LoadRow
 
-__all__ = ["Group", "Joined"]
+__all__ = ["AppliedReport", "Group"]
 
 
 @dataclass(frozen=True, slots=True)
-class Joined:
-    """Say whether a report is the first of its member."""
+class AppliedReport:
+    """Result of applying a report; ``first`` means that the member joined with it."""
 
     first: bool
 
@@ -22,36 +22,36 @@
 @dataclass(slots=True)
 class _Member:
     sender: Sender
-    belief: PeerBelief
-    heard: float
-    told: bool = False
+    status: PeerStatus
+    heard_at: float
+    acknowledged: bool = False
     load_by_key: dict[int, EndpointLoad] = field(default_factory=dict)
 
 
 class Group:
-    """Add up what members report; a daemon alone is a group without members."""
+    """Sum the load of the members; an ungrouped daemon is a group without members."""
 
     def __init__(
         self, own_row: Callable[[int], LoadRow], on_changed: Callable[[set[int]], None]
     ) -> None:
-        self.counts_own = False
+        self.includes_own_load = False
         self._own_row = own_row
         self._on_changed = on_changed
         self._member_by_host: dict[str, _Member] = {}
 
     @property
     def hosts(self) -> list[str]:
-        """Return the hosts of members."""
+        """Return the hosts of the members."""
         return list(self._member_by_host)
 
     @property
-    def daemons(self) -> int:
-        """Return how many live daemons the group has; those that leave count no more."""
+    def daemon_count(self) -> int:
+        """Return the number of live daemons in the group, without those that are leaving."""
         live = sum(1 for each in self._member_by_host.values() if not each.sender.leaving)
-        return live + self.counts_own
+        return live + self.includes_own_load
 
-    def take(self, report: Report, now: float) -> Joined | None:
-        """Take a member's report; return None for one that came late, or ends the membership."""
+    def apply_report(self, report: Report, now: float) -> AppliedReport | None:
+        """Apply a member's report; return None if it is outdated or ends the membership."""
         sender = report.sender
         host = sender.address.host
         known = self._member_by_host.get(host)
@@ -59,62 +59,64 @@
             earlier = (known.sender.incarnation, known.sender.sequence)
             if (sender.incarnation, sender.sequence) <= earlier:
                 return None
-        if report.leaves:
+        if report.leaves_group:
             self.remove(host)
             return None
         first = known is None or sender.incarnation > known.sender.incarnation
         if first:
             self.remove(host)
-            known = self._member_by_host[host] = _Member(sender, report.belief, now)
+            known = self._member_by_host[host] = _Member(sender, report.status, now)
         assert known is not None
         known.sender = sender
-        known.belief = report.belief
-        known.heard = now
-        known.told = False
+        known.status = report.status
+        known.heard_at = now
+        known.acknowledged = False
         for row in report.rows:
             if row.load.empty():
                 known.load_by_key.pop(row.key, None)
             else:
                 known.load_by_key[row.key] = row.load
         self._on_changed({row.key for row in report.rows})
-        return Joined(first)
+        return AppliedReport(first)
 
     def remove(self, host: str) -> Sender | None:
-        """Drop a member and its work; return who it was."""
+        """Remove a member and its load; return its last sender information."""
         member = self._member_by_host.pop(host, None)
         if member is None:
             return None
         self._on_changed(set(member.load_by_key))
         return member.sender
 
-    def silent(self, now: float, silence: float) -> list[str]:
-        """Return the hosts of members that were silent for a number of seconds."""
-        return [h for h, each in self._member_by_host.items() if now - each.heard > silence]
+    def silent_hosts(self, now: float, silence: float) -> list[str]:
+        """Return the hosts of members not heard from for ``silence`` seconds."""
+        return [h for h, each in self._member_by_host.items() if now - each.heard_at > silence]
 
     def failing(self, now: float) -> list[FailingWord]:
-        """Return which endpoints members avoid for what they met."""
+        """Return the endpoints that members avoid because of failures they observed."""
         members = self._member_by_host.values()
-        return [w for each in members for w in words_left(each.belief.failing, now - each.heard)]
+        return [w for each in members for w in words_left(each.status.failing, now - each.heard_at)]
 
-    def doubts(self, now: float) -> set[str]:
-        """Return the endpoints at which members have just met a failure."""
+    def recent_failures(self, now: float) -> set[str]:
+        """Return the endpoints at which members recently observed a failure."""
         members = self._member_by_host.values()
-        fresh = [each.belief.doubts for each in members if now - each.heard < DOUBT_SECONDS]
-        return {endpoint for doubts in fresh for endpoint in doubts}
+        fresh = [
+            each.status.recent_failures for each in members if now - each.heard_at < DOUBT_SECONDS
+        ]
+        return {endpoint for failures in fresh for endpoint in failures}
 
     def acknowledgements(self, *, every: bool) -> tuple[Acknowledgement, ...]:
-        """Return up to which report members are counted, or only of those with newer ones."""
+        """Return the pending acknowledgements, or with ``every`` those of all members."""
         found = []
         for host, member in self._member_by_host.items():
-            if member.told and not every:
+            if member.acknowledged and not every:
                 continue
-            member.told = True
+            member.acknowledged = True
             found.append(Acknowledgement(host, member.sender.sequence))
         return tuple(found)
 
     def total(self, key: int) -> EndpointLoad:
-        """Return the work of the group at one endpoint."""
-        total = self._own_row(key).load if self.counts_own else EndpointLoad()
+        """Return the load of the group at one endpoint."""
+        total = self._own_row(key).load if self.includes_own_load else EndpointLoad()
         for member in self._member_by_host.values():
             load = member.load_by_key.get(key)
             if load is not None:
--- a/src/brassdrum/gateway/peering/peer_messages.py
+++ b/src/brassdrum/gateway/peering/peer_messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other by datagram, and its form on the wire."""
+"""Datagram messages between gateway daemons and their wire encoding."""
 
 from __future__ import annotations
 
@@ -14,52 +14,53 @@
 
 __all__ = [
     "Acknowledgement",
-    "Bundle",
     "Digest",
+    "DrainNotice",
+    "ForwardedDigest",
     "Hello",
-    "LeavingWord",
     "Message",
-    "PeerBelief",
+    "PeerStatus",
     "Report",
     "Sender",
     "decode_message",
     "encode_message",
 ]
 
-_FORMAT = 8
-# Ages are told in ms; None before the first read of the store.
+_FORMAT_VERSION = 8
+# Encoding of an unknown age; other ages are in ms.
 _NO_AGE = 0xFFFFFFFF
-# Ages of ends are told in ms, so that ends of one moment are known as such; a content is 8 bytes.
+# Ages are in ms, so that simultaneous endpoint crashes are recognised.
 _AGE_BYTES = 3
-_NEVER = 0xFFFFFF
+_NEVER_SERVED = 0xFFFFFF
 _CONTENT_BYTES = 8
-# A bit for each of the 12 ends that are kept of a content.
-_MARK_BYTES = 2
-# Flags of a digest.
-_ROLL, _ENDS, _FLEET = 1, 2, 4
+# One bit for each of the up to 12 endpoint crashes kept per request content.
+_BITMASK_BYTES = 2
+# Digest flags.
+_LISTS_MEMBERS, _STEPS_DOWN, _COVERS_FLEET = 1, 2, 4
 
 
 class _Kind(IntEnum):
     HELLO = 1
     REPORT = 2
     DIGEST = 3
-    BUNDLE = 4
+    FORWARDED_DIGEST = 4
 
 
 @dataclass(frozen=True, slots=True)
-class LeavingWord:
-    """Say that an endpoint leaves, as it was known ``age`` seconds ago."""
+class DrainNotice:
+    """An endpoint was found to be draining ``age`` seconds ago."""
 
     endpoint: str
     age: float
 
 
 @dataclass(frozen=True, slots=True)
-class PeerBelief:
-    """Hold how new a daemon's knowledge is; age in seconds, None before the first read.
+class PeerStatus:
+    """Version of a daemon's configuration, and the endpoint failures it observed.
 
-    ``reads`` is the number of the read of the store that it rests on, ``era`` the store's.
-    ``doubts`` names endpoints that have just failed a request there, for whatever reason.
+    ``age`` is in seconds, None before the first read of the store. ``reads`` is the number of the
+    store read that the configuration is from, ``era`` the era of the store. ``recent_failures``
+    names endpoints that recently failed a request for any reason.
     """
 
     version: int
@@ -67,15 +68,18 @@
     age: float | None
     reads: int
     failing: tuple[FailingWord, ...] = ()
-    leaving: tuple[LeavingWord, ...] = ()
-    doubts: tuple[str, ...] = ()
+    draining: tuple[DrainNotice, ...] = ()
+    recent_failures: tuple[str, ...] = ()
     endings: tuple[EndingWord, ...] = ()
     era: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Sender:
-    """Say who sends; ``incarnation`` is the ms of its start, ``sequence`` counts its messages."""
+    """Sender of a message.
+
+    ``incarnation`` is its start time in ms, ``sequence`` the number of the message.
+    """
 
     name: str
     address: DaemonAddress
@@ -86,30 +90,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Introduce a daemon; ``asks`` wants an answer of the same kind.
+    """Discovery message; ``wants_reply`` requests another one in return.
 
-    ``known`` are others of the receiver's zone, ``speakers`` those that speak for groups.
+    ``known_daemons`` are peers in the zone of the receiver, ``aggregators`` those of all groups.
     """
 
     sender: Sender
-    known: tuple[DaemonAddress, ...] = ()
-    speakers: tuple[DaemonAddress, ...] = ()
-    asks: bool = False
+    known_daemons: tuple[DaemonAddress, ...] = ()
+    aggregators: tuple[DaemonAddress, ...] = ()
+    wants_reply: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Tell own work to the daemon that speaks for the group; ``leaves`` ends the membership."""
+    """Load of a member for its aggregator; ``leaves_group`` ends the membership."""
 
     sender: Sender
-    belief: PeerBelief
+    status: PeerStatus
     rows: tuple[LoadRow, ...] = ()
-    leaves: bool = False
+    leaves_group: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """Say up to which report a member's work is counted."""
+    """Sequence number of the latest report of a member that was applied."""
 
     host: str
     sequence: int
@@ -117,149 +121,155 @@
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """Tell the work of a group to other groups, or with ``fleet`` that of all to the own members.
+    """Load of a group for other aggregators, or of the whole fleet for the members of the group.
 
-    It is the work of ``daemons`` live daemons in ``speakers`` groups. Rows are those that changed,
-    and all of one ``part`` of ``parts`` of the keys: one of that part that is not listed is empty.
-    ``roll`` says that the acknowledgements list every member, and that ``known`` lists the daemons
-    of the zone and those that speak for others. ``ends`` says that the sender speaks no more.
+    ``rows`` are the changed rows and all rows of one ``partition`` of the keys; a key of that
+    partition without a row has no load. With ``lists_members`` the acknowledgements name every
+    member. ``known_daemons`` are peers in the zone and aggregators of other groups. ``steps_down``
+    says that the sender is no longer an aggregator.
     """
 
     sender: Sender
-    belief: PeerBelief
-    daemons: int
-    speakers: int = 1
-    fleet: bool = False
+    status: PeerStatus
+    daemon_count: int
+    aggregator_count: int = 1
+    covers_fleet: bool = False
     rows: tuple[LoadRow, ...] = ()
-    part: int = 0
-    parts: int = 0
-    acknowledged: tuple[Acknowledgement, ...] = ()
-    known: tuple[DaemonAddress, ...] = ()
-    roll: bool = False
-    ends: bool = False
+    partition: int = 0
+    partition_count: int = 0
+    acknowledgements: tuple[Acknowledgement, ...] = ()
+    known_daemons: tuple[DaemonAddress, ...] = ()
+    lists_members: bool = False
+    steps_down: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Bundle:
-    """Carry a digest as it was encoded; who gets it sends it on to the hosts named."""
+class ForwardedDigest:
+    """An encoded digest that the receiver also forwards to the given hosts."""
 
-    hosts: tuple[str, ...]
+    forward_to: tuple[str, ...]
     digest: bytes
 
 
-Message = Hello | Report | Digest | Bundle
+Message = Hello | Report | Digest | ForwardedDigest
 
 
 def encode_message(message: Message) -> bytes:
-    """Return a datagram."""
+    """Return the datagram for a message."""
     writer = FieldWriter()
-    writer.number(_FORMAT, 1)
+    writer.uint(_FORMAT_VERSION, 1)
     match message:
         case Hello():
-            writer.number(_Kind.HELLO, 1)
+            writer.uint(_Kind.HELLO, 1)
             _write_sender(writer, message.sender)
-            writer.number(message.asks, 1)
-            _write_addresses(writer, message.known)
-            _write_addresses(writer, message.speakers)
+            writer.uint(message.wants_reply, 1)
+            _write_addresses(writer, message.known_daemons)
+            _write_addresses(writer, message.aggregators)
         case Report():
-            writer.number(_Kind.REPORT, 1)
+            writer.uint(_Kind.REPORT, 1)
             _write_sender(writer, message.sender)
-            writer.number(message.leaves, 1)
-            _write_belief(writer, message.belief)
+            writer.uint(message.leaves_group, 1)
+            _write_status(writer, message.status)
             _write_rows(writer, message.rows)
         case Digest():
-            writer.number(_Kind.DIGEST, 1)
+            writer.uint(_Kind.DIGEST, 1)
             _write_digest(writer, message)
-        case Bundle():
-            writer.number(_Kind.BUNDLE, 1)
-            writer.number(len(message.hosts), 1)
-            for host in message.hosts:
+        case ForwardedDigest():
+            writer.uint(_Kind.FORWARDED_DIGEST, 1)
+            writer.uint(len(message.forward_to), 1)
+            for host in message.forward_to:
                 writer.host(host)
-            writer.block(message.digest)
+            writer.length_prefixed(message.digest)
     return writer.bytes()
 
 
 def decode_message(data: bytes) -> Message:
-    """Return a message, or raise ``ValueError``."""
+    """Return the message in a datagram; raises ``ValueError`` if it is invalid."""
     reader = FieldReader(data)
-    form = reader.number(1)
-    if form != _FORMAT:
-        raise ValueError(f"message format {form} is unknown; run one version on all hosts")
-    match _Kind(reader.number(1)):
+    version = reader.uint(1)
+    if version != _FORMAT_VERSION:
+        raise ValueError(
+            f"unknown message format version {version}; run the same version on all hosts"
+        )
+    match _Kind(reader.uint(1)):
         case _Kind.HELLO:
             sender = _read_sender(reader)
-            asks = bool(reader.number(1))
-            return Hello(sender, _read_addresses(reader), _read_addresses(reader), asks)
+            wants_reply = bool(reader.uint(1))
+            return Hello(sender, _read_addresses(reader), _read_addresses(reader), wants_reply)
         case _Kind.REPORT:
             sender = _read_sender(reader)
-            leaves = bool(reader.number(1))
-            return Report(sender, _read_belief(reader), _read_rows(reader), leaves)
+            leaves_group = bool(reader.uint(1))
+            return Report(sender, _read_status(reader), _read_rows(reader), leaves_group)
         case _Kind.DIGEST:
             return _read_digest(reader)
-        case _Kind.BUNDLE:
-            hosts = tuple(reader.host() for _ in range(reader.number(1)))
-            return Bundle(hosts, reader.block())
+        case _Kind.FORWARDED_DIGEST:
+            hosts = tuple(reader.host() for _ in range(reader.uint(1)))
+            return ForwardedDigest(hosts, reader.length_prefixed())
 
 
 def _write_digest(writer: FieldWriter, message: Digest) -> None:
     _write_sender(writer, message.sender)
-    flags = _ROLL * message.roll | _ENDS * message.ends | _FLEET * message.fleet
-    writer.number(flags, 1)
-    writer.number(message.daemons, 2)
-    writer.number(message.speakers, 2)
-    _write_belief(writer, message.belief)
-    writer.number(message.part, 2)
-    writer.number(message.parts, 2)
+    flags = (
+        _LISTS_MEMBERS * message.lists_members
+        | _STEPS_DOWN * message.steps_down
+        | _COVERS_FLEET * message.covers_fleet
+    )
+    writer.uint(flags, 1)
+    writer.uint(message.daemon_count, 2)
+    writer.uint(message.aggregator_count, 2)
+    _write_status(writer, message.status)
+    writer.uint(message.partition, 2)
+    writer.uint(message.partition_count, 2)
     _write_rows(writer, message.rows)
-    writer.hosts([(each.host, each.sequence) for each in message.acknowledged], 4)
-    _write_addresses(writer, message.known)
+    writer.hosts([(each.host, each.sequence) for each in message.acknowledgements], 4)
+    _write_addresses(writer, message.known_daemons)
 
 
 def _read_digest(reader: FieldReader) -> Digest:
     sender = _read_sender(reader)
-    flags = reader.number(1)
-    daemons, speakers = reader.number(2), reader.number(2)
-    belief = _read_belief(reader)
-    part, parts = reader.number(2), reader.number(2)
+    flags = reader.uint(1)
+    daemon_count, aggregator_count = reader.uint(2), reader.uint(2)
+    status = _read_status(reader)
+    partition, partition_count = reader.uint(2), reader.uint(2)
     rows = _read_rows(reader)
-    acknowledged = tuple(Acknowledgement(*each) for each in reader.hosts(4))
-    known = _read_addresses(reader)
+    acknowledgements = tuple(Acknowledgement(*each) for each in reader.hosts(4))
+    known_daemons = _read_addresses(reader)
     return Digest(
         sender,
-        belief,
-        daemons,
-        speakers,
-        bool(flags & _FLEET),
+        status,
+        daemon_count,
+        aggregator_count,
+        bool(flags & _COVERS_FLEET),
         rows,
-        part,
-        parts,
-        acknowledged,
-        known,
-        bool(flags & _ROLL),
-        bool(flags & _ENDS),
+        partition,
+        partition_count,
+        acknowledgements,
+        known_daemons,
+        bool(flags & _LISTS_MEMBERS),
+        bool(flags & _STEPS_DOWN),
     )
 
 
 def _write_sender(writer: FieldWriter, sender: Sender) -> None:
     writer.text(sender.name)
     _write_addresses(writer, (sender.address,))
-    writer.number(sender.incarnation, 6)
-    writer.number(sender.sequence, 4)
-    writer.number(sender.leaving, 1)
+    writer.uint(sender.incarnation, 6)
+    writer.uint(sender.sequence, 4)
+    writer.uint(sender.leaving, 1)
 
 
 def _read_sender(reader: FieldReader) -> Sender:
     name = reader.text()
     (address,) = _read_addresses(reader)
-    return Sender(name, address, reader.number(6), reader.number(4), bool(reader.number(1)))
+    return Sender(name, address, reader.uint(6), reader.uint(4), bool(reader.uint(1)))
 
 
 def _write_addresses(writer: FieldWriter, addresses: Iterable[DaemonAddress]) -> None:
-    """Append addresses by zone, so that each zone is named once."""
+    """Append addresses grouped by zone, so that each zone name is sent once."""
     by_zone: dict[str, list[DaemonAddress]] = {}
     for each in addresses:
         by_zone.setdefault(each.zone, []).append(each)
-    writer.number(len(by_zone), 1)
+    writer.uint(len(by_zone), 1)
     for zone, daemons in by_zone.items():
         writer.text(zone)
         writer.hosts([(each.host, each.capacity) for each in daemons], 1)
@@ -267,52 +277,56 @@
 
 def _read_addresses(reader: FieldReader) -> tuple[DaemonAddress, ...]:
     addresses = []
-    for _ in range(reader.number(1)):
+    for _ in range(reader.uint(1)):
         zone = reader.text()
-        addresses += [DaemonAddress(host, zone, carries) for host, carries in reader.hosts(1)]
+        addresses += [DaemonAddress(host, zone, capacity) for host, capacity in reader.hosts(1)]
     return tuple(addresses)
 
 
-def _write_belief(writer: FieldWriter, belief: PeerBelief) -> None:
-    # The version before the first configuration is -1.
-    writer.number(belief.version + 1, 6)
-    writer.text(belief.digest)
-    writer.number(_NO_AGE if belief.age is None else round(belief.age * 1000), 4)
-    writer.number(belief.reads, 4)
-    # Eras count from 0 or 1; 0 on the wire is none.
-    writer.number(0 if belief.era is None else belief.era + 1, 4)
-    writer.number(len(belief.failing), 2)
-    for each in belief.failing:
+def _write_status(writer: FieldWriter, status: PeerStatus) -> None:
+    # The version is -1 before the first configuration.
+    writer.uint(status.version + 1, 6)
+    writer.text(status.digest)
+    writer.uint(_NO_AGE if status.age is None else round(status.age * 1000), 4)
+    writer.uint(status.reads, 4)
+    # 0 stands for no era.
+    writer.uint(0 if status.era is None else status.era + 1, 4)
+    writer.uint(len(status.failing), 2)
+    for each in status.failing:
         writer.text(each.endpoint)
-        writer.number(_age_ms(each.left), _AGE_BYTES)
-        writer.number(_age_ms(each.span), _AGE_BYTES)
-    writer.number(len(belief.leaving), 2)
-    for each in belief.leaving:
+        writer.uint(_age_ms(each.left), _AGE_BYTES)
+        writer.uint(_age_ms(each.span), _AGE_BYTES)
+    writer.uint(len(status.draining), 2)
+    for each in status.draining:
         writer.text(each.endpoint)
-        writer.number(_age_ms(each.age), _AGE_BYTES)
-    writer.number(len(belief.doubts), 1)
-    for name in belief.doubts:
+        writer.uint(_age_ms(each.age), _AGE_BYTES)
+    writer.uint(len(status.recent_failures), 1)
+    for name in status.recent_failures:
         writer.text(name)
-    writer.number(len(belief.endings), 1)
-    for word in belief.endings:
-        _write_ending(writer, word)
-
-
-def _write_ending(writer: FieldWriter, word: EndingWord) -> None:
-    """Append what is known of a content; one of three ends takes 37 bytes."""
-    writer.number(int(word.content, 16), _CONTENT_BYTES)
-    served = _NEVER if word.served_age is None else min(_NEVER - 1, _age_ms(word.served_age))
-    writer.number(served, _AGE_BYTES)
-    writer.number(len(word.ends), 1)
-    writer.number(_marks(end.soon for end in word.ends), _MARK_BYTES)
-    writer.number(_marks(end.lived for end in word.ends), _MARK_BYTES)
-    for end in word.ends:
-        writer.number(end.endpoint, 4)
-        writer.number(_age_ms(end.age), _AGE_BYTES)
+    writer.uint(len(status.endings), 1)
+    for ending in status.endings:
+        _write_ending(writer, ending)
+
+
+def _write_ending(writer: FieldWriter, ending: EndingWord) -> None:
+    """Append the endpoint crashes attributed to one request content."""
+    writer.uint(int(ending.content, 16), _CONTENT_BYTES)
+    served_age_ms = (
+        _NEVER_SERVED
+        if ending.served_age is None
+        else min(_NEVER_SERVED - 1, _age_ms(ending.served_age))
+    )
+    writer.uint(served_age_ms, _AGE_BYTES)
+    writer.uint(len(ending.ends), 1)
+    writer.uint(_bitmask(end.soon for end in ending.ends), _BITMASK_BYTES)
+    writer.uint(_bitmask(end.lived for end in ending.ends), _BITMASK_BYTES)
+    for end in ending.ends:
+        writer.uint(end.endpoint, 4)
+        writer.uint(_age_ms(end.age), _AGE_BYTES)
 
 
-def _marks(values: Iterable[bool]) -> int:
-    return sum(value << place for place, value in enumerate(values))
+def _bitmask(values: Iterable[bool]) -> int:
+    return sum(value << bit for bit, value in enumerate(values))
 
 
 def _age_ms(age: float) -> int:
@@ -320,60 +334,59 @@
 
 
 def _read_ending(reader: FieldReader) -> EndingWord:
-    content = f"{reader.number(_CONTENT_BYTES):0{2 * _CONTENT_BYTES}x}"
-    served = reader.number(_AGE_BYTES)
-    count = reader.number(1)
-    soon, lived = reader.number(_MARK_BYTES), reader.number(_MARK_BYTES)
+    content = f"{reader.uint(_CONTENT_BYTES):0{2 * _CONTENT_BYTES}x}"
+    served_age_ms = reader.uint(_AGE_BYTES)
+    count = reader.uint(1)
+    soon, lived = reader.uint(_BITMASK_BYTES), reader.uint(_BITMASK_BYTES)
     ends = tuple(
         SeenEnd(
-            reader.number(4),
-            reader.number(_AGE_BYTES) / 1000,
-            bool(soon >> place & 1),
-            bool(lived >> place & 1),
+            reader.uint(4),
+            reader.uint(_AGE_BYTES) / 1000,
+            bool(soon >> bit & 1),
+            bool(lived >> bit & 1),
         )
-        for place in range(count)
+        for bit in range(count)
+    )
+    return EndingWord(
+        content, ends, None if served_age_ms == _NEVER_SERVED else served_age_ms / 1000
     )
-    return EndingWord(content, ends, None if served == _NEVER else served / 1000)
 
 
-def _read_belief(reader: FieldReader) -> PeerBelief:
-    version = reader.number(6) - 1
+def _read_status(reader: FieldReader) -> PeerStatus:
+    version = reader.uint(6) - 1
     digest = reader.text()
-    age = reader.number(4)
-    reads = reader.number(4)
-    era = reader.number(4)
+    age = reader.uint(4)
+    reads = reader.uint(4)
+    era = reader.uint(4)
     failing = tuple(
-        FailingWord(
-            reader.text(), reader.number(_AGE_BYTES) / 1000, reader.number(_AGE_BYTES) / 1000
-        )
-        for _ in range(reader.number(2))
+        FailingWord(reader.text(), reader.uint(_AGE_BYTES) / 1000, reader.uint(_AGE_BYTES) / 1000)
+        for _ in range(reader.uint(2))
     )
-    leaving = tuple(
-        LeavingWord(reader.text(), reader.number(_AGE_BYTES) / 1000)
-        for _ in range(reader.number(2))
+    draining = tuple(
+        DrainNotice(reader.text(), reader.uint(_AGE_BYTES) / 1000) for _ in range(reader.uint(2))
     )
-    doubts = tuple(reader.text() for _ in range(reader.number(1)))
-    endings = tuple(_read_ending(reader) for _ in range(reader.number(1)))
+    recent_failures = tuple(reader.text() for _ in range(reader.uint(1)))
+    endings = tuple(_read_ending(reader) for _ in range(reader.uint(1)))
     known_age = None if age == _NO_AGE else age / 1000
     known_era = era - 1 if era else None
-    return PeerBelief(
+    return PeerStatus(
         version,
         digest,
         known_age,
         reads,
         failing=failing,
-        leaving=leaving,
-        doubts=doubts,
+        draining=draining,
+        recent_failures=recent_failures,
         endings=endings,
         era=known_era,
     )
 
 
 def _write_rows(writer: FieldWriter, rows: tuple[LoadRow, ...]) -> None:
-    writer.number(len(rows), 2)
+    writer.uint(len(rows), 2)
     for row in rows:
         writer.row(row)
 
 
 def _read_rows(reader: FieldReader) -> tuple[LoadRow, ...]:
-    return tuple(reader.row() for _ in range(reader.number(2)))
+    return tuple(reader.row() for _ in range(reader.uint(2)))
