--- a/features/steps/property_steps.py
+++ b/features/steps/property_steps.py
@@ -38,7 +38,7 @@
 from brassdrum.logservice.tail import Tail
 from brassdrum.membership.peer_pb2 import LEAVING, READY, DaemonEntry
 from brassdrum.membership.peers import PeerTable
-from brassdrum.outcomes.breaker import Breaker
+from brassdrum.outcomes.breaker import CircuitBreaker
 from brassdrum.outcomes.claims import Claim, ClaimFold, ClaimKey, parse_claim_record
 from brassdrum.outcomes.resume import ResumeTicket, ResumeTokens
 from brassdrum.outcomes.retries import RetryBudget, RetryPolicy
@@ -582,16 +582,16 @@
 
 
 def _breaker_walk(triggers):
-    breaker, now = Breaker(), 0.0
+    breaker, now = CircuitBreaker(), 0.0
     for trigger in triggers:
         before, now = breaker.state, now + 100.0
         if trigger == "trip":
             breaker.failures += 10
-            breaker.failed(now)
+            breaker.record_failure(now)
         elif trigger == "probe":
-            breaker.sent(now)
+            breaker.record_sent(now)
         else:
-            breaker.succeeded()
+            breaker.record_success()
         yield before, trigger, breaker.state
 
 
@@ -627,12 +627,12 @@
         for maybe, repeatable, started in cases:
             error = EndpointFailedError("x") if maybe else NoEndpointError("x")
             decision = policy.decide(
-                error, attempt=1, repeatable=repeatable, answer_started=started, time_left=9.0
+                error, attempt=1, repeatable=repeatable, response_started=started, time_left=9.0
             )
             if decision.retry:
                 granted += 1
                 assert not started and (repeatable or not maybe)
-                assert decision.pause < 9.0
+                assert decision.delay_seconds < 9.0
         assert granted <= 10
 
     check()
@@ -644,7 +644,7 @@
 
     def repeated(error):
         return policy.decide(
-            error, attempt=1, repeatable=True, answer_started=False, time_left=9.0
+            error, attempt=1, repeatable=True, response_started=False, time_left=9.0
         ).retry
 
     assert all(repeated(EndpointUnreachableError("x")) for _ in range(50))
--- a/src/brassdrum/daemon/attempts.py
+++ b/src/brassdrum/daemon/attempts.py
@@ -51,7 +51,7 @@
 
         ``send`` keeps the placement when it succeeds; after a failure it is released here.
         """
-        self._core.retry_budget.request()
+        self._core.retry_budget.record_request()
         while True:
             self._attempt += 1
             placement = self._place_or_tell(work)
@@ -70,7 +70,7 @@
             except BaseException:
                 self._core.dispatcher.release(placement)
                 raise
-            placement.state.breaker.succeeded()
+            placement.state.breaker.record_success()
             self._core.guard.answered(placement.state.endpoint.name)
             return answer
 
@@ -125,9 +125,9 @@
         if isinstance(
             error, EndpointFailedError | DeadlineExceededError | EndpointUnreachableError
         ):
-            placement.state.breaker.failed(now)
+            placement.state.breaker.record_failure(now)
             return
-        placement.state.breaker.succeeded()
+        placement.state.breaker.record_success()
 
     def _again(self, work: Work, placement: Placement, error: BrassdrumError) -> Work:
         scope = self._scope
@@ -139,7 +139,7 @@
             error,
             attempt=self._attempt,
             repeatable=self._repeatable,
-            answer_started=False,
+            response_started=False,
             time_left=scope.deadline - now,
         )
         self._core.explanations.add(
@@ -150,7 +150,7 @@
         if not decision.retry:
             raise error
         observe(self._core.metrics.retries.add, 1, {"reason": error.code})
-        self._core.clock.sleep(decision.pause)
+        self._core.clock.sleep(decision.delay_seconds)
         avoid = work.avoid | {placement.state.endpoint.name}
         candidates = self._core.dispatcher.fleet.states_by_target.get(work.target, [])
         if all(state.endpoint.name in avoid for state in candidates):
--- a/src/brassdrum/daemon/dispatcher.py
+++ b/src/brassdrum/daemon/dispatcher.py
@@ -162,7 +162,7 @@
         idle = state.queued_tokens(now) == 0
         own = OwnWork(work, now, self._prefill_tokens(work, state))
         state.own_by_id[work.id] = own
-        state.breaker.sent(now)
+        state.breaker.record_sent(now)
         if work.blocks:
             self.fleet.prefixes.stored(state.endpoint.name, work.blocks)
         placement = Placement(work, state, own, idle, max(0.0, now - work.arrived))
--- a/src/brassdrum/outcomes/breaker.py
+++ b/src/brassdrum/outcomes/breaker.py
@@ -6,22 +6,22 @@
 
 from brassdrum.charts import load_chart
 
-__all__ = ["Breaker"]
+__all__ = ["CircuitBreaker"]
 
 _FAILURES_TO_OPEN = 5
 _FIRST_OPEN_SECONDS = 1.0
-_LONGEST_OPEN_SECONDS = 30.0
+_MAX_OPEN_SECONDS = 30.0
 _CHART = load_chart("breaker")
 
 
 @dataclass(slots=True)
-class Breaker:
+class CircuitBreaker:
     """Count failures in a row; open for a growing time, then let single probes through."""
 
     state: str = _CHART.initial
     failures: int = 0
     open_until: float = 0.0
-    _openings: int = 0
+    _open_count: int = 0
     _probe_until: float = 0.0
 
     def allows(self, now: float) -> bool:
@@ -30,27 +30,27 @@
             return True
         return now >= self.open_until and now >= self._probe_until
 
-    def sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Note that a request is sent; while it probes, others wait for its result."""
         if self.state == _CHART.initial:
             return
         self.state = _CHART.next(self.state, "probe")
         self._probe_until = now + _FIRST_OPEN_SECONDS
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Note an answer of any kind."""
         self.state = _CHART.next(self.state, "recover")
         self.failures = 0
-        self._openings = 0
+        self._open_count = 0
         self._probe_until = 0.0
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Note a refused connection, a broken answer or silence."""
         self.failures += 1
         if self.failures < _FAILURES_TO_OPEN:
             return
         self.state = _CHART.next(self.state, "trip")
-        seconds = min(_LONGEST_OPEN_SECONDS, _FIRST_OPEN_SECONDS * 2**self._openings)
-        self._openings = min(self._openings + 1, 10)
+        seconds = min(_MAX_OPEN_SECONDS, _FIRST_OPEN_SECONDS * 2**self._open_count)
+        self._open_count = min(self._open_count + 1, 10)
         self.open_until = now + seconds
         self._probe_until = 0.0
--- a/src/brassdrum/outcomes/retries.py
+++ b/src/brassdrum/outcomes/retries.py
@@ -9,10 +9,10 @@
 
 __all__ = ["RetryBudget", "RetryDecision", "RetryPolicy"]
 
-_FIRST_PAUSE = 0.02
-_LONGEST_PAUSE = 2.0
-_MOST_ATTEMPTS = 4
-_BUDGET_FLOOR = 10.0
+_BASE_DELAY_SECONDS = 0.02
+_MAX_DELAY_SECONDS = 2.0
+_MAX_ATTEMPTS = 4
+_INITIAL_RETRIES = 10.0
 
 
 class RetryBudget:
@@ -20,17 +20,17 @@
 
     def __init__(self, share: float) -> None:
         self._share = share
-        self._level = _BUDGET_FLOOR
+        self._available = _INITIAL_RETRIES
 
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Earn a part of a retry by a first attempt."""
-        self._level = min(self._level + self._share, _BUDGET_FLOOR * 10)
+        self._available = min(self._available + self._share, _INITIAL_RETRIES * 10)
 
     def spend(self) -> bool:
         """Take one retry, or return False when none is left."""
-        if self._level < 1.0:
+        if self._available < 1.0:
             return False
-        self._level -= 1.0
+        self._available -= 1.0
         return True
 
 
@@ -39,7 +39,7 @@
     """Tell whether to try again, after how many seconds, or why not."""
 
     retry: bool
-    pause: float = 0.0
+    delay_seconds: float = 0.0
     reason: str = ""
 
 
@@ -56,17 +56,17 @@
         *,
         attempt: int,
         repeatable: bool,
-        answer_started: bool,
+        response_started: bool,
         time_left: float,
     ) -> RetryDecision:
         """Return what to do after the given attempt, counted from 1, failed."""
-        if answer_started:
+        if response_started:
             return RetryDecision(False, reason="part of the answer was sent")
         if error.ran is not Ran.NO and not repeatable:
             return RetryDecision(False, reason="it may have run and may not be repeated")
-        if attempt >= _MOST_ATTEMPTS:
+        if attempt >= _MAX_ATTEMPTS:
             return RetryDecision(False, reason="attempts used up")
-        longest = min(_LONGEST_PAUSE, _FIRST_PAUSE * 2**attempt)
+        longest = min(_MAX_DELAY_SECONDS, _BASE_DELAY_SECONDS * 2**attempt)
         pause = self._random.uniform(0.0, longest)
         if pause >= time_left:
             return RetryDecision(False, reason="no time left")
--- a/src/brassdrum/routing/state.py
+++ b/src/brassdrum/routing/state.py
@@ -6,7 +6,7 @@
 
 from brassdrum.admission.work import LengthBand, Work
 from brassdrum.contracts.documents import Endpoint
-from brassdrum.outcomes.breaker import Breaker
+from brassdrum.outcomes.breaker import CircuitBreaker
 
 __all__ = ["EndpointLoad", "EndpointState", "LoadReport", "OwnWork", "PeerLoad"]
 
@@ -63,7 +63,7 @@
 
     endpoint: Endpoint
     since: float
-    breaker: Breaker = field(default_factory=Breaker)
+    breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
     leaving: bool = False
     report: LoadReport | None = None
     peers_by_daemon: dict[str, PeerLoad] = field(default_factory=dict)
