--- a/src/brassdrum/daemon/core.py
+++ b/src/brassdrum/daemon/core.py
@@ -21,7 +21,7 @@
 from brassdrum.daemon.watch import Watch
 from brassdrum.errors import InvalidRequestError, NotReadyError, UnknownKeyError
 from brassdrum.outcomes.claimer import Claims
-from brassdrum.outcomes.fingerprint import fingerprint
+from brassdrum.outcomes.fingerprint import content_fingerprint
 from brassdrum.outcomes.resume import ResumeTokens
 from brassdrum.outcomes.retries import RetryBudget, RetryPolicy
 from brassdrum.settings import DaemonSettings
@@ -181,7 +181,9 @@
 def content_of(scope: Scope, body: bytes) -> str:
     """Return the name of what a request asks for, whoever handles it."""
     request = scope.request
-    return fingerprint(scope.organisation, request.method.encode(), request.path.encode(), body)
+    return content_fingerprint(
+        scope.organisation, request.method.encode(), request.path.encode(), body
+    )
 
 
 def _request_id(request: Request, clock: Clock) -> str:
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -28,7 +28,7 @@
     retry_after,
 )
 from brassdrum.gateway.request.silence_watch import SilenceWatch
-from brassdrum.outcomes.fingerprint import fingerprint
+from brassdrum.outcomes.fingerprint import content_fingerprint
 from brassdrum.outcomes.quarantine import Standing
 from brassdrum.telemetry import log_events
 from brassdrum.telemetry.log_events import LogEvent
@@ -63,7 +63,7 @@
         organisation: Organisation | None,
         arrived: float,
     ) -> None:
-        self.content = fingerprint(
+        self.content = content_fingerprint(
             "" if organisation is None else organisation.name,
             request.method,
             request.host.encode(),
--- a/src/brassdrum/outcomes/fingerprint.py
+++ b/src/brassdrum/outcomes/fingerprint.py
@@ -4,13 +4,13 @@
 
 import hashlib
 
-__all__ = ["fingerprint"]
+__all__ = ["content_fingerprint"]
 
 # 8 bytes: among a million contents two share a name once in 37 million fleets.
 _DIGEST_BYTES = 8
 
 
-def fingerprint(caller: str, *parts: bytes) -> str:
+def content_fingerprint(caller: str, *parts: bytes) -> str:
     """Return 16 hex digits of who asks for what: the caller, and the method, path and body.
 
     The id of the attempt is no part of it: a caller that comes again has another one.
