--- a/src/brassdrum/daemon/engine_run.py
+++ b/src/brassdrum/daemon/engine_run.py
@@ -80,7 +80,7 @@
     @property
     def whole(self) -> bool:
         """Return whether the answer arrived whole."""
-        return self._assembler.whole
+        return self._assembler.complete
 
     @property
     def broken(self) -> bool:
--- a/src/brassdrum/outcomes/stream.py
+++ b/src/brassdrum/outcomes/stream.py
@@ -8,7 +8,7 @@
 
 __all__ = ["CheckedEvent", "EventVerdict", "StreamAssembler", "StreamChecker", "StreamEvent"]
 
-_UNFINISHED = b'"finish_reason":null'
+_NULL_FINISH_REASON = b'"finish_reason":null'
 
 
 class EventVerdict(StrEnum):
@@ -24,11 +24,11 @@
 class StreamEvent:
     """Hold one SSE event; ``name`` is its id ``STREAM/INDEX``, empty on the final mark."""
 
-    name: str
+    event_id: str
     data: bytes
 
     @property
-    def final(self) -> bool:
+    def is_done(self) -> bool:
         """Return whether this marks the whole answer's end."""
         return self.data == b"[DONE]"
 
@@ -73,7 +73,7 @@
         self._on_dropped = on_dropped
         self._buffer = b""
         self._last_data = b""
-        self.whole = False
+        self.complete = False
         self.broken = False
 
     @property
@@ -91,19 +91,19 @@
         *blocks, self._buffer = (self._buffer + data).split(b"\n\n")
         events = []
         for block in blocks:
-            if self.whole or self.broken:
+            if self.complete or self.broken:
                 break
-            event = self._take(_parse(block))
+            event = self._accept(_parse(block))
             if event is not None:
                 events.append(event)
         return events
 
-    def _take(self, event: StreamEvent) -> CheckedEvent | None:
-        if event.final:
-            self.whole = bool(self._last_data) and _UNFINISHED not in self._last_data
-            self.broken = not self.whole
+    def _accept(self, event: StreamEvent) -> CheckedEvent | None:
+        if event.is_done:
+            self.complete = bool(self._last_data) and _NULL_FINISH_REASON not in self._last_data
+            self.broken = not self.complete
             return None
-        verdict = self._checker.check(event.name)
+        verdict = self._checker.check(event.event_id)
         if verdict is EventVerdict.DELIVER:
             self._last_data = event.data
             return CheckedEvent(self._checker.next_index - 1, event.data)
