--- a/src/brassdrum/outcomes/resume.py
+++ b/src/brassdrum/outcomes/resume.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Parts:
+class _TokenParts:
     key_id: str
     payload: bytes
     signature: bytes
@@ -42,19 +42,19 @@
     """Make and check tokens; the first key signs, all keys verify, so keys can be rotated."""
 
     def __init__(self, keys: Sequence[ResumeKey]) -> None:
-        self._signing = keys[0]
-        self._by_id = {key.id: key for key in keys}
+        self._signing_key = keys[0]
+        self._key_by_id = {key.id: key for key in keys}
 
     def sign(self, ticket: ResumeTicket) -> str:
         """Return a token to hand to the caller."""
         payload = base64.urlsafe_b64encode(ticket.model_dump_json().encode()).rstrip(b"=")
-        signature = _signature(self._signing, payload)
-        return f"{self._signing.id}.{payload.decode()}.{signature.hex()}"
+        signature = _signature(self._signing_key, payload)
+        return f"{self._signing_key.id}.{payload.decode()}.{signature.hex()}"
 
     def verify(self, token: str, organisation: str, now: float) -> ResumeTicket:
         """Return the ticket, or raise ``ResumeRefusedError``; ``now`` is an epoch time in s."""
-        parts = _split(token)
-        key = self._by_id.get(parts.key_id)
+        parts = _parse_token(token)
+        key = self._key_by_id.get(parts.key_id)
         if key is None or not hmac.compare_digest(_signature(key, parts.payload), parts.signature):
             raise ResumeRefusedError("The resume token was not signed by this fleet.")
         padding = b"=" * (-len(parts.payload) % 4)
@@ -75,10 +75,10 @@
     return hmac.new(key.secret.encode(), payload, hashlib.sha256).digest()
 
 
-def _split(token: str) -> _Parts:
+def _parse_token(token: str) -> _TokenParts:
     pieces = token.split(".")
     try:
         key_id, payload, signature = pieces
-        return _Parts(key_id, payload.encode("ascii"), bytes.fromhex(signature))
+        return _TokenParts(key_id, payload.encode("ascii"), bytes.fromhex(signature))
     except ValueError as error:
         raise ResumeRefusedError("The resume token is malformed.") from error
