--- a/src/brassdrum/outcomes/appender.py
+++ b/src/brassdrum/outcomes/appender.py
@@ -13,12 +13,12 @@
 
 __all__ = ["BatchAppender"]
 
-_URGENT_LINGER = 0.005
-_LAZY_LINGER = 0.25
-_MOST_RECORDS = 500
-_MOST_LAZY = 20_000
-_RETRY_SECONDS = 0.5
-_IDLE_SECONDS = 2.0
+_URGENT_LINGER_SECONDS = 0.005
+_LAZY_LINGER_SECONDS = 0.25
+_MAX_BATCH_RECORDS = 500
+_MAX_LAZY_RECORDS = 20_000
+_RETRY_DELAY_SECONDS = 0.5
+_IDLE_WAIT_SECONDS = 2.0
 
 
 @dataclass(slots=True)
@@ -40,11 +40,11 @@
         self._clock = clock
         self._changed = threading.Condition()
         self._urgent: deque[_Pending] = deque()
-        self._lazy: deque[_Pending] = deque(maxlen=_MOST_LAZY)
+        self._lazy: deque[_Pending] = deque(maxlen=_MAX_LAZY_RECORDS)
         self._lazy_since: float | None = None
         self.appends = 0
 
-    def urgent(self, value: dict[str, object]) -> Future[int]:
+    def append_urgent(self, value: dict[str, object]) -> Future[int]:
         """Append soon; the future gives the offset or raises ``PlatformUnavailableError``."""
         pending = _Pending(value)
         with self._changed:
@@ -52,7 +52,7 @@
             self._changed.notify()
         return pending.future
 
-    def lazy(self, value: dict[str, object]) -> None:
+    def append_lazy(self, value: dict[str, object]) -> None:
         """Append when it costs little, and again until the log has it."""
         with self._changed:
             self._lazy.append(_Pending(value))
@@ -69,25 +69,25 @@
     def step(self) -> None:
         """Wait for records and append one group."""
         with self._changed:
-            self._changed.wait_for(lambda: bool(self._urgent or self._lazy), _IDLE_SECONDS)
-            self._changed.wait_for(self._due, _LAZY_LINGER)
-            if not self._due():
+            self._changed.wait_for(lambda: bool(self._urgent or self._lazy), _IDLE_WAIT_SECONDS)
+            self._changed.wait_for(self._batch_due, _LAZY_LINGER_SECONDS)
+            if not self._batch_due():
                 return
-            if self._urgent and len(self._urgent) < _MOST_RECORDS:
-                self._changed.wait(_URGENT_LINGER)
-            urgent = _take(self._urgent, _MOST_RECORDS)
-            lazy = _take(self._lazy, _MOST_RECORDS - len(urgent))
+            if self._urgent and len(self._urgent) < _MAX_BATCH_RECORDS:
+                self._changed.wait(_URGENT_LINGER_SECONDS)
+            urgent = _pop_up_to(self._urgent, _MAX_BATCH_RECORDS)
+            lazy = _pop_up_to(self._lazy, _MAX_BATCH_RECORDS - len(urgent))
             self._lazy_since = self._clock.monotonic() if self._lazy else None
-        self._append(urgent, lazy)
+        self._append_batch(urgent, lazy)
 
-    def _due(self) -> bool:
-        if self._urgent or len(self._lazy) >= _MOST_RECORDS:
+    def _batch_due(self) -> bool:
+        if self._urgent or len(self._lazy) >= _MAX_BATCH_RECORDS:
             return True
         if self._lazy_since is None:
             return False
-        return self._clock.monotonic() - self._lazy_since >= _LAZY_LINGER
+        return self._clock.monotonic() - self._lazy_since >= _LAZY_LINGER_SECONDS
 
-    def _append(self, urgent: list[_Pending], lazy: list[_Pending]) -> None:
+    def _append_batch(self, urgent: list[_Pending], lazy: list[_Pending]) -> None:
         values = [pending.value for pending in [*urgent, *lazy]]
         if not values:
             return
@@ -95,12 +95,12 @@
         try:
             first = self._log.append(self._stream, values)
         except PlatformUnavailableError as error:
-            self._give_back(urgent, lazy, error)
+            self._handle_append_error(urgent, lazy, error)
             return
         for position, pending in enumerate(urgent):
             pending.future.set_result(first + position)
 
-    def _give_back(
+    def _handle_append_error(
         self, urgent: list[_Pending], lazy: list[_Pending], error: PlatformUnavailableError
     ) -> None:
         for pending in urgent:
@@ -110,10 +110,10 @@
         with self._changed:
             self._lazy.extendleft(reversed(lazy))
             self._lazy_since = self._clock.monotonic()
-        self._clock.sleep(_RETRY_SECONDS)
+        self._clock.sleep(_RETRY_DELAY_SECONDS)
 
 
-def _take(queue: deque[_Pending], most: int) -> list[_Pending]:
+def _pop_up_to(queue: deque[_Pending], most: int) -> list[_Pending]:
     taken = []
     while queue and len(taken) < most:
         taken.append(queue.popleft())
--- a/src/brassdrum/outcomes/claimer.py
+++ b/src/brassdrum/outcomes/claimer.py
@@ -144,7 +144,7 @@
     def abandon(self, claim_id: str) -> None:
         """Give up a claim under which nothing was dispatched."""
         record = AbandonRecord(format=1, kind="abandon", id=claim_id)
-        self.appender.lazy(record.model_dump())
+        self.appender.append_lazy(record.model_dump())
 
     def finish(self, claim_id: str, status: int, content_type: str, body: bytes | None) -> None:
         """Keep the answer; a large body is left out and later callers learn only that it ran."""
@@ -159,12 +159,12 @@
             content_type=content_type,
             body=text,
         )
-        self.appender.lazy(record.model_dump())
+        self.appender.append_lazy(record.model_dump())
 
     def _written(self, record: ClaimRecord) -> bool:
         limit = self._clock.monotonic() + _CLAIM_SECONDS
         value = record.model_dump()
-        future = self.appender.urgent(value)
+        future = self.appender.append_urgent(value)
         while True:
             left = limit - self._clock.monotonic()
             if left <= 0:
@@ -179,7 +179,7 @@
                 # Its answer may be lost only: look first, then append the same record again.
                 if self._seen(record.id, min(left, _RETRY_SECONDS)):
                     return True
-                future = self.appender.urgent(value)
+                future = self.appender.append_urgent(value)
 
     def _seen(self, claim_id: str, seconds: float) -> bool:
         with self._changed:
@@ -244,9 +244,9 @@
         """
         lost = [claim for claim in self.fold.by_key.values() if claim.id not in seen]
         for claim in lost:
-            self.appender.lazy(claim.record().model_dump())
+            self.appender.append_lazy(claim.record().model_dump())
             if claim.outcome is not None:
-                self.appender.lazy(claim.outcome.model_dump())
+                self.appender.append_lazy(claim.outcome.model_dump())
         _logger.warning("claims written again", extra={"count": len(lost)})
 
 
