--- a/features/steps/guard_steps.py
+++ b/features/steps/guard_steps.py
@@ -14,7 +14,7 @@
 from brassdrum.gateway.guards.endings import Witness
 from brassdrum.gateway.model import SharedRecord
 from brassdrum.gateway.placing.load import LoadTable, Share, endpoint_key
-from brassdrum.outcomes.quarantine import EndingWord, SeenEnd, Standing
+from brassdrum.outcomes.quarantine import ContentStatus, CrashReport, ObservedCrash
 from brassdrum.telemetry.log_events import QUARANTINE_NOT_KEPT
 from features.gateway_world import engine_entry
 from features.steps.quarantine_steps import content
@@ -37,12 +37,12 @@
 
 @then("a suspect request may be sent to endpoints {numbers}")
 def step_suspect_choices(context, numbers):
-    assert_choices(context, Standing.SUSPECT, numbers)
+    assert_choices(context, ContentStatus.SUSPECT, numbers)
 
 
 @then("another request may be sent to endpoints {numbers}")
 def step_other_choices(context, numbers):
-    assert_choices(context, Standing.SOUND, numbers)
+    assert_choices(context, ContentStatus.SOUND, numbers)
 
 
 def assert_choices(context, standing, numbers):
@@ -54,7 +54,7 @@
 
 @when("a suspect request is sent to endpoint {number:d}")
 def step_suspect_sent(context, number):
-    context.guard.sent(Standing.SUSPECT, f"engine-{number}")
+    context.guard.sent(ContentStatus.SUSPECT, f"engine-{number}")
 
 
 @when("the daemon has waited {seconds:g} seconds")
@@ -166,34 +166,36 @@
 
 @when("it hears that content a was at ends 1, 2 and 3")
 def step_guard_hears(context):
-    context.guard.hear((EndingWord(content("a"), tuple(SeenEnd(n, 0.0) for n in (1, 2, 3))),))
+    context.guard.hear(
+        (CrashReport(content("a"), tuple(ObservedCrash(n, 0.0) for n in (1, 2, 3))),)
+    )
 
 
 @when("it hears that endpoint {number:d} ended soon after content a was sent there")
 def step_guard_hears_soon(context, number):
-    end = SeenEnd(endpoint_key(engine_entry(number).id), 0.0, soon=True)
-    context.guard.hear((EndingWord(content("a"), (end,)),))
+    end = ObservedCrash(endpoint_key(engine_entry(number).id), 0.0, soon=True)
+    context.guard.hear((CrashReport(content("a"), (end,)),))
 
 
 @then("a request with content a that was sent to endpoint {number:d} may be sent again at once")
 def step_sent_again(context, number):
     tried = {engine_entry(number).id}
-    assert context.guard.standing(content("a"), tried) is Standing.SOUND
+    assert context.guard.standing(content("a"), tried) is ContentStatus.SOUND
     assert context.guard.settles_in(content("a"), tried) == 0
 
 
 @then("one that was sent to endpoint {number:d} waits for half a second at most")
 def step_waits(context, number):
     tried = {engine_entry(number).id}
-    assert context.guard.standing(content("a"), tried) is Standing.UNDECIDED
+    assert context.guard.standing(content("a"), tried) is ContentStatus.UNDECIDED
     assert 0 < context.guard.settles_in(content("a"), tried) <= 0.5
     context.loop.advance(context.guard.settles_in(content("a"), tried))
-    assert context.guard.standing(content("a"), tried) is Standing.SOUND
+    assert context.guard.standing(content("a"), tried) is ContentStatus.SOUND
 
 
 @when("the first request with content {letter:w} is refused there")
 def step_first_refused(context, letter):
-    while context.guard.standing(content(letter)) is not Standing.QUARANTINED:
+    while context.guard.standing(content(letter)) is not ContentStatus.QUARANTINED:
         assert context.guard.settles_in(content(letter)) > 0
         context.loop.advance(context.guard.settles_in(content(letter)))
 
@@ -206,14 +208,14 @@
 @then("a request with content {letter:w} is refused")
 def step_refused_there(context, letter):
     context.loop.advance(0.3)
-    assert context.guard.standing(content(letter)) is Standing.QUARANTINED
+    assert context.guard.standing(content(letter)) is ContentStatus.QUARANTINED
 
 
 @then("no request with content {letter:w} is refused")
 def step_not_refused_there(context, letter):
     for _ in range(30):
         context.loop.advance(0.01)
-        assert context.guard.standing(content(letter)) is not Standing.QUARANTINED
+        assert context.guard.standing(content(letter)) is not ContentStatus.QUARANTINED
 
 
 class KeptMessages(logging.Handler):
--- a/features/steps/property_steps.py
+++ b/features/steps/property_steps.py
@@ -564,7 +564,7 @@
     claim = Claim("id", ClaimKey("o", "k"), "f", "d", 1.0, 0.0)
     for trigger in triggers:
         before = claim.state.value
-        claim.follow(trigger)
+        claim.apply_trigger(trigger)
         yield before, trigger, claim.state.value
 
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -15,7 +15,7 @@
     decode_message,
     encode_message,
 )
-from brassdrum.outcomes.quarantine import EndingWord, Quarantine, SeenEnd, Standing
+from brassdrum.outcomes.quarantine import ContentStatus, CrashReport, ObservedCrash, Quarantine
 
 CONTENTS = st.sampled_from([f"{number:016x}" for number in range(6)])
 ENDS = st.lists(st.tuples(CONTENTS, st.integers(1, 8)), max_size=30)
@@ -41,7 +41,7 @@
 
 def standing(context, letter, where=None, own_ends=()):
     decision = (where or daemon(context)).quarantine
-    return decision.standing(content(letter), context.now, own_ends)
+    return decision.status(content(letter), context.now, own_ends)
 
 
 @given("content {letter} was at ends {numbers}")
@@ -49,17 +49,17 @@
 def step_was_at(context, letter, numbers):
     quarantine = daemon(context).quarantine
     for number in re.findall(r"\d+", numbers):
-        quarantine.ended(content(letter), int(number), context.now)
+        quarantine.record_crash(content(letter), int(number), context.now)
 
 
 @given("content {letter} was at end {number:d} soon after it was sent")
 def step_was_at_soon(context, letter, number):
-    daemon(context).quarantine.ended(content(letter), number, context.now, soon=True)
+    daemon(context).quarantine.record_crash(content(letter), number, context.now, soon=True)
 
 
 @given("content {letter} was answered whole before any end")
 def step_served_before(context, letter):
-    daemon(context).quarantine.served(content(letter), context.now)
+    daemon(context).quarantine.record_served(content(letter), context.now)
     context.now += 0.2
 
 
@@ -68,10 +68,10 @@
     quarantine = daemon(context).quarantine
     for moment in range(times):
         context.now += 1.5
-        quarantine.ended(content("a"), 100 * moment, context.now)
+        quarantine.record_crash(content("a"), 100 * moment, context.now)
         for other in range(1, count):
             name = f"{100 * moment + other:016x}"
-            quarantine.ended(name, 100 * moment + other, context.now + 0.002 * other)
+            quarantine.record_crash(name, 100 * moment + other, context.now + 0.002 * other)
 
 
 @given("another daemon heard all")
@@ -79,49 +79,53 @@
 def step_other_hears(context):
     if not hasattr(context, "other"):
         context.other = Daemon()
-    context.other.quarantine.hear(daemon(context).quarantine.words(context.now), context.now)
+    context.other.quarantine.merge_reports(
+        daemon(context).quarantine.reports(context.now), context.now
+    )
 
 
 @when("this daemon hears the other")
 def step_this_hears(context):
-    context.daemon.quarantine.hear(context.other.quarantine.words(context.now), context.now)
+    context.daemon.quarantine.merge_reports(
+        context.other.quarantine.reports(context.now), context.now
+    )
 
 
 @when("content {letter} is answered whole")
 def step_served(context, letter):
     context.now += 0.2
-    assert daemon(context).quarantine.served(content(letter), context.now)
+    assert daemon(context).quarantine.record_served(content(letter), context.now)
 
 
 @when("{seconds:g} s pass")
 def step_time(context, seconds):
     daemon(context)
     context.now += seconds
-    context.daemon.quarantine.words(context.now)
+    context.daemon.quarantine.reports(context.now)
 
 
 @then("content {letter} is {name:w}")
 def step_standing(context, letter, name):
     found = standing(context, letter)
-    assert found is Standing[name.upper()], found
+    assert found is ContentStatus[name.upper()], found
 
 
 @then("content {letter} is {name:w} there")
 def step_standing_there(context, letter, name):
     found = standing(context, letter, context.other)
-    assert found is Standing[name.upper()], found
+    assert found is ContentStatus[name.upper()], found
 
 
 @then("content {letter} is {name:w} for the request that was at end {number:d}")
 def step_standing_of_request(context, letter, name, number):
     found = standing(context, letter, own_ends={number})
-    assert found is Standing[name.upper()], found
+    assert found is ContentStatus[name.upper()], found
 
 
 @then("content {letter} is {name:w} there for the request that was at end {number:d}")
 def step_standing_of_request_there(context, letter, name, number):
     found = standing(context, letter, context.other, own_ends={number})
-    assert found is Standing[name.upper()], found
+    assert found is ContentStatus[name.upper()], found
 
 
 @then("nothing is known")
@@ -133,7 +137,7 @@
 def step_flood(context, count):
     for number in range(count):
         name = f"{number + 1000:016x}"
-        context.daemon.quarantine.ended(name, number % 300 + 50, context.now)
+        context.daemon.quarantine.record_crash(name, number % 300 + 50, context.now)
 
 
 @then("at most {count:d} contents are known")
@@ -143,7 +147,7 @@
 
 @then("at most {count:d} are told, content {letter} first")
 def step_told(context, count, letter):
-    words = context.daemon.quarantine.words(context.now)
+    words = context.daemon.quarantine.reports(context.now)
     assert len(words) <= count
     assert words[0].content == content(letter)
 
@@ -157,9 +161,9 @@
     pair = [context.daemon, context.other]
     for number in range(round(seconds / pause)):
         teller, hearer = pair[number % 2], pair[1 - number % 2]
-        words = passed(teller.quarantine.words(context.now))
+        words = passed(teller.quarantine.reports(context.now))
         context.now += way
-        hearer.quarantine.hear(words, context.now)
+        hearer.quarantine.merge_reports(words, context.now)
         context.now += pause - way
 
 
@@ -173,10 +177,10 @@
 @then("any words are the same after encoding, ages to a millisecond")
 def step_wire(context):
     ages = st.floats(0, 1200)
-    end = st.builds(SeenEnd, st.integers(0, 2**32 - 1), ages, st.booleans(), st.booleans())
+    end = st.builds(ObservedCrash, st.integers(0, 2**32 - 1), ages, st.booleans(), st.booleans())
     ends = st.lists(end, max_size=12).map(tuple)
     words = st.lists(
-        st.builds(EndingWord, CONTENTS, ends, st.none() | st.floats(0, 1200)), max_size=24
+        st.builds(CrashReport, CONTENTS, ends, st.none() | st.floats(0, 1200)), max_size=24
     )
 
     @any_of(words)
@@ -185,8 +189,8 @@
         assert len(heard) == len(told)
         for sent, got in zip(told, heard, strict=True):
             assert got.content == sent.content
-            assert [end.endpoint for end in got.ends] == [end.endpoint for end in sent.ends]
-            for mine, theirs in zip(sent.ends, got.ends, strict=True):
+            assert [end.endpoint for end in got.crashes] == [end.endpoint for end in sent.crashes]
+            for mine, theirs in zip(sent.crashes, got.crashes, strict=True):
                 assert abs(mine.age - theirs.age) <= 0.000501
                 assert (mine.soon, mine.lived) == (theirs.soon, theirs.lived)
             assert (got.served_age is None) == (sent.served_age is None)
@@ -198,14 +202,14 @@
 def step_any_order(context):
     @any_of(ENDS, st.randoms(use_true_random=False))
     def check(ends, rng):
-        words = [EndingWord(name, (SeenEnd(number, 1.0),)) for name, number in ends]
+        words = [CrashReport(name, (ObservedCrash(number, 1.0),)) for name, number in ends]
         first, second = Quarantine(), Quarantine()
-        first.hear(words, 100.0)
+        first.merge_reports(words, 100.0)
         for word in rng.sample(words + words, 2 * len(words)):
-            second.hear((word,), 100.0)
+            second.merge_reports((word,), 100.0)
         names = {name for name, _ in ends}
         for name in names:
-            assert first.standing(name, 100.5) is second.standing(name, 100.5), (name, ends)
+            assert first.status(name, 100.5) is second.status(name, 100.5), (name, ends)
 
     check()
 
@@ -223,17 +227,17 @@
         for _ in range(60):
             now += rng.uniform(0.2, 0.8)
             cause = rng.choice(ending)
-            if quarantine.standing(cause, now) is Standing.QUARANTINED:
+            if quarantine.status(cause, now) is ContentStatus.QUARANTINED:
                 continue
             incarnation += 1
             # Each healthy stream is sent again at most once, by its caller once more.
             beside = rng.sample(healthy, 5)
             for name in {cause, *beside}:
-                quarantine.ended(name, incarnation, now)
+                quarantine.record_crash(name, incarnation, now)
             for name in beside:
                 if rng.random() < 0.5:
-                    quarantine.served(name, now + 0.1)
-        assert not {*quarantine.in_force(now + 1)} - {*ending}
+                    quarantine.record_served(name, now + 0.1)
+        assert not {*quarantine.quarantined(now + 1)} - {*ending}
 
     check()
 
@@ -251,8 +255,8 @@
             streams = rng.sample(healthy, 3 * endpoints)
             for number in range(endpoints):
                 for name in streams[3 * number : 3 * number + 3]:
-                    quarantine.ended(name, 100 * wave + number, now + rng.uniform(0.0, 0.02))
-        assert not quarantine.in_force(now + 1)
+                    quarantine.record_crash(name, 100 * wave + number, now + rng.uniform(0.0, 0.02))
+        assert not quarantine.quarantined(now + 1)
 
     check()
 
@@ -262,7 +266,7 @@
     quarantine = daemon(context).quarantine
     for _ in range(20):
         context.now += 0.1
-        quarantine.served(content(letter), context.now)
+        quarantine.record_served(content(letter), context.now)
     context.now += 0.1
 
 
@@ -270,13 +274,13 @@
 def step_ends_apart(context, pause, letter, times):
     for number in range(times):
         context.now += pause
-        context.daemon.quarantine.ended(content(letter), number, context.now)
+        context.daemon.quarantine.record_crash(content(letter), number, context.now)
 
 
 @given("content {letter:w} is at {share:d} of {count:d} endpoints that end in one moment")
 def step_rack(context, letter, share, count):
     for number in range(count):
         at = context.now + 0.001 * number
-        context.daemon.quarantine.ended(f"{900 + number:016x}", number, at)
+        context.daemon.quarantine.record_crash(f"{900 + number:016x}", number, at)
         if number < share:
-            context.daemon.quarantine.ended(content(letter), number, at)
+            context.daemon.quarantine.record_crash(content(letter), number, at)
--- a/src/brassdrum/bench/endings.py
+++ b/src/brassdrum/bench/endings.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field
 
 from brassdrum.bench.load.loop import SimulatedLoop
-from brassdrum.outcomes.charging import SOON_SECONDS
-from brassdrum.outcomes.quarantine import Quarantine, Standing
+from brassdrum.outcomes.crash_attribution import SOON_SECONDS
+from brassdrum.outcomes.quarantine import ContentStatus, Quarantine
 
 __all__ = [
     "EndingPlan",
@@ -219,12 +219,12 @@
         """Send a request, wait until its content is decided on, or refuse it."""
         now = self._loop.now()
         decision = self._daemons[attempt.daemon]
-        standing = decision.standing(attempt.content, now, attempt.was_at)
-        if standing is Standing.UNDECIDED:
-            wait = decision.settles_in(attempt.content, now, attempt.was_at)
+        standing = decision.status(attempt.content, now, attempt.was_at)
+        if standing is ContentStatus.UNDECIDED:
+            wait = decision.seconds_until_decided(attempt.content, now, attempt.was_at)
             self._loop.call_later(max(wait, 1e-3), lambda: self._begin(attempt))
             return
-        if standing is Standing.QUARANTINED:
+        if standing is ContentStatus.QUARANTINED:
             if attempt.guilty is None:
                 self._healthy_refused.add(attempt.content)
             return
@@ -234,11 +234,11 @@
             return
         self._send(attempt, endpoint)
 
-    def _choose(self, attempt: _Attempt, standing: Standing) -> int | None:
+    def _choose(self, attempt: _Attempt, standing: ContentStatus) -> int | None:
         up = [n for n, each in enumerate(self._endpoints) if each.up]
         fresh = [n for n in up if self._endpoints[n].key not in attempt.was_at]
         now = self._loop.now()
-        if standing is Standing.SUSPECT:
+        if standing is ContentStatus.SUSPECT:
             idle = [n for n in fresh if not self._endpoints[n].attempts]
             chosen = self._random.choice(idle or fresh) if fresh else None
             if chosen is not None:
@@ -265,7 +265,7 @@
         if attempt not in endpoint.attempts:
             return
         endpoint.attempts.remove(attempt)
-        self._daemons[attempt.daemon].served(attempt.content, self._loop.now())
+        self._daemons[attempt.daemon].record_served(attempt.content, self._loop.now())
 
     def _tell_each_time(self, daemon: int) -> None:
         self._tell(daemon)
@@ -273,12 +273,13 @@
 
     def _tell(self, daemon: int) -> None:
         self._tells_soon.discard(daemon)
-        words = self._daemons[daemon].words(self._loop.now())
+        words = self._daemons[daemon].reports(self._loop.now())
         for other in range(self._plan.daemons):
             if other == daemon or not words or self._random.random() < self._plan.words_lost:
                 continue
             self._loop.call_later(
-                _WORD_SECONDS, lambda o=other: self._daemons[o].hear(words, self._loop.now())
+                _WORD_SECONDS,
+                lambda o=other: self._daemons[o].merge_reports(words, self._loop.now()),
             )
 
     def _tell_soon(self, daemon: int) -> None:
@@ -308,7 +309,9 @@
         self._loop.call_later(_BACK_SECONDS, lambda: self._start_again(number))
 
     def _lose(self, attempt: _Attempt, key: int, soon: bool) -> None:
-        self._daemons[attempt.daemon].ended(attempt.content, key, self._loop.now(), soon=soon)
+        self._daemons[attempt.daemon].record_crash(
+            attempt.content, key, self._loop.now(), soon=soon
+        )
         self._tell_soon(attempt.daemon)
         self._begin(attempt)
 
--- a/src/brassdrum/daemon/claiming.py
+++ b/src/brassdrum/daemon/claiming.py
@@ -6,7 +6,7 @@
 
 from brassdrum.daemon.core import Core, Scope
 from brassdrum.errors import BrassdrumError, Ran
-from brassdrum.outcomes.claimer import Claimer, fingerprint_of
+from brassdrum.outcomes.claimer import Claimer, request_fingerprint
 from brassdrum.outcomes.claims import ClaimKey, OutcomeRecord
 from brassdrum.wsgi import Response
 
@@ -42,8 +42,8 @@
     if scope.idempotency_key is None:
         return ClaimTicket()
     key = ClaimKey(scope.organisation, scope.idempotency_key)
-    fingerprint = fingerprint_of(scope.request.method, scope.request.path, body)
-    claimer = core.claims.shard(key)
+    fingerprint = request_fingerprint(scope.request.method, scope.request.path, body)
+    claimer = core.claims.claimer_for(key)
     with scope.trace.hop("claim"):
         result = claimer.claim(key, fingerprint, core.wall_time(scope.deadline))
     if isinstance(result, OutcomeRecord):
--- a/src/brassdrum/daemon/content_guard.py
+++ b/src/brassdrum/daemon/content_guard.py
@@ -11,8 +11,8 @@
 from brassdrum.clock import Clock
 from brassdrum.errors import ContentQuarantinedError
 from brassdrum.membership.peer_pb2 import DaemonEntry, EndedContent, SeenEndpointEnd
-from brassdrum.outcomes.charging import SOON_SECONDS
-from brassdrum.outcomes.quarantine import EndingWord, Quarantine, SeenEnd, Standing
+from brassdrum.outcomes.crash_attribution import SOON_SECONDS
+from brassdrum.outcomes.quarantine import ContentStatus, CrashReport, ObservedCrash, Quarantine
 
 __all__ = ["ContentGuard"]
 
@@ -44,13 +44,13 @@
         while True:
             with self._lock:
                 now = self._clock.monotonic()
-                standing = self._quarantine.standing(content, now, own_ends)
-                wait = self._quarantine.settles_in(content, now, own_ends)
+                standing = self._quarantine.status(content, now, own_ends)
+                wait = self._quarantine.seconds_until_decided(content, now, own_ends)
                 left = self._quarantine.seconds_left(content, now)
-            if standing is not Standing.UNDECIDED:
+            if standing is not ContentStatus.UNDECIDED:
                 break
             self._clock.sleep(wait)
-        if standing is Standing.QUARANTINED:
+        if standing is ContentStatus.QUARANTINED:
             _logger.warning(
                 "content refused", extra={"content": content, "seconds_left": round(left, 1)}
             )
@@ -61,8 +61,8 @@
     def suspect(self, content: str, own_ends: Collection[int] = ()) -> bool:
         """Return whether a request is to be sent alone; ``own_ends`` as for ``check``."""
         with self._lock:
-            standing = self._quarantine.standing(content, self._clock.monotonic(), own_ends)
-        return standing is Standing.SUSPECT
+            standing = self._quarantine.status(content, self._clock.monotonic(), own_ends)
+        return standing is ContentStatus.SUSPECT
 
     def ended(self, content: str, endpoint: str, placed_at: float = -math.inf) -> int:
         """Note that an endpoint ended while it had a request with the content; name the end."""
@@ -75,7 +75,7 @@
                 self._end_by_endpoint[endpoint] = key
                 while len(self._end_by_endpoint) > _MOST_ENDED:
                     del self._end_by_endpoint[next(iter(self._end_by_endpoint))]
-            self._quarantine.ended(content, key, now, soon=now - placed_at < SOON_SECONDS)
+            self._quarantine.record_crash(content, key, now, soon=now - placed_at < SOON_SECONDS)
         _logger.warning("endpoint ended", extra={"endpoint": endpoint, "content": content})
         return key
 
@@ -87,14 +87,14 @@
     def served(self, content: str) -> None:
         """Note a whole answer."""
         with self._lock:
-            cleared = self._quarantine.served(content, self._clock.monotonic())
+            cleared = self._quarantine.record_served(content, self._clock.monotonic())
         if cleared:
             _logger.info("content cleared", extra={"content": content})
 
     def describe(self, entry: DaemonEntry) -> None:
         """Fill in what this daemon tells of contents in a round."""
         with self._lock:
-            words = self._quarantine.words(self._clock.monotonic())
+            words = self._quarantine.reports(self._clock.monotonic())
         del entry.ended_contents[:]
         entry.ended_contents.extend(map(_told, words))
 
@@ -104,17 +104,17 @@
         if not words:
             return
         with self._lock:
-            self._quarantine.hear(words, self._clock.monotonic())
+            self._quarantine.merge_reports(words, self._clock.monotonic())
 
 
-def _told(word: EndingWord) -> EndedContent:
+def _told(word: CrashReport) -> EndedContent:
     told = EndedContent(
         content=bytes.fromhex(word.content),
         ends=[
             SeenEndpointEnd(
                 endpoint=end.endpoint, age_milliseconds=int(end.age * _MS), soon=end.soon
             )
-            for end in word.ends
+            for end in word.crashes
         ],
     )
     if word.served_age is not None:
@@ -122,10 +122,10 @@
     return told
 
 
-def _heard(told: EndedContent) -> EndingWord:
+def _heard(told: EndedContent) -> CrashReport:
     ends = tuple(
-        SeenEnd(each.endpoint, each.age_milliseconds / _MS, each.soon) for each in told.ends
+        ObservedCrash(each.endpoint, each.age_milliseconds / _MS, each.soon) for each in told.ends
     )
     served = told.served_age_milliseconds / _MS
     known = told.HasField("served_age_milliseconds")
-    return EndingWord(told.content.hex(), ends, served if known else None)
+    return CrashReport(told.content.hex(), ends, served if known else None)
--- a/src/brassdrum/daemon/core.py
+++ b/src/brassdrum/daemon/core.py
@@ -20,7 +20,7 @@
 from brassdrum.daemon.relay import Relay
 from brassdrum.daemon.watch import Watch
 from brassdrum.errors import InvalidRequestError, NotReadyError, UnknownKeyError
-from brassdrum.outcomes.claimer import Claims
+from brassdrum.outcomes.claimer import ShardedClaims
 from brassdrum.outcomes.fingerprint import content_fingerprint
 from brassdrum.outcomes.resume import ResumeTokens
 from brassdrum.outcomes.retries import RetryBudget, RetryPolicy
@@ -92,7 +92,7 @@
     control: ControlState
     dispatcher: Dispatcher
     limits: LimitBook
-    claims: Claims
+    claims: ShardedClaims
     resume_tokens: ResumeTokens
     watch: Watch
     cancels: Cancels
--- a/src/brassdrum/daemon/main.py
+++ b/src/brassdrum/daemon/main.py
@@ -35,7 +35,7 @@
 from brassdrum.membership.gossip import Gossip, PeerClients, PeerServer
 from brassdrum.membership.peer_pb2 import LEAVING, READY, STARTING, DaemonEntry
 from brassdrum.membership.peers import PeerTable
-from brassdrum.outcomes.claimer import Claims
+from brassdrum.outcomes.claimer import ShardedClaims
 from brassdrum.outcomes.resume import ResumeTokens
 from brassdrum.outcomes.retries import RetryBudget
 from brassdrum.settings import DaemonSettings
@@ -81,7 +81,7 @@
         self._state_lock = threading.Lock()
         self._made_at = self._clock.monotonic()
         self._control = ControlState(self._log, self._clock, self._peer_snapshots, self._configure)
-        self._claims = Claims(
+        self._claims = ShardedClaims(
             self._log, CLAIM_SHARDS, settings.name, self._clock, _DEFAULT_WINDOW_SECONDS
         )
         self._dispatcher = Dispatcher(
--- a/src/brassdrum/gateway/guards/crash_guard.py
+++ b/src/brassdrum/gateway/guards/crash_guard.py
@@ -15,12 +15,12 @@
 from brassdrum.gateway.net.loop import EventLoop
 from brassdrum.gateway.placing.load import LoadTable, endpoint_key
 from brassdrum.outcomes.quarantine import (
+    PROPAGATION_SECONDS,
     QUARANTINE_SECONDS,
-    SETTLE_SECONDS,
-    EndingWord,
+    ContentStatus,
+    CrashReport,
+    ObservedCrash,
     Quarantine,
-    SeenEnd,
-    Standing,
 )
 from brassdrum.telemetry import log_events
 
@@ -31,7 +31,7 @@
 # long nothing else is sent there.
 _ALONE_SECONDS = 1.0
 # After the settling time and a moment for timers that fire late.
-_REVIEW_SECONDS = SETTLE_SECONDS + 0.01
+_REVIEW_SECONDS = PROPAGATION_SECONDS + 0.01
 # Daemons that start together hear each other's news within this; the first of them then asks the
 # store, one call for the whole fleet.
 _LOAD_SECONDS = 1.0
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptEnd:
-    """Hold an end as the store keeps it, at a time in Unix seconds; ``soon`` as in ``SeenEnd``."""
+    """Hold an end as the store keeps it, in Unix seconds; ``soon`` as in ``ObservedCrash``."""
 
     endpoint: int
     at: float
@@ -79,11 +79,13 @@
             ) from error
         return cls(record.key, ends)
 
-    def word(self, now: float) -> EndingWord:
+    def word(self, now: float) -> CrashReport:
         """Return it as another daemon would tell it; a clock that stepped makes no end newer."""
-        return EndingWord(
+        return CrashReport(
             self.content,
-            tuple(SeenEnd(end.endpoint, max(0.0, now - end.at), end.soon) for end in self.ends),
+            tuple(
+                ObservedCrash(end.endpoint, max(0.0, now - end.at), end.soon) for end in self.ends
+            ),
         )
 
 
@@ -117,11 +119,11 @@
         """Return the number of contents that are quarantined."""
         return len(self._in_force)
 
-    def standing(self, content: str, tried: Collection[str] = ()) -> Standing:
+    def standing(self, content: str, tried: Collection[str] = ()) -> ContentStatus:
         """Return how a request that was sent to the endpoints ``tried`` is treated now."""
         own_ends = set(map(endpoint_key, tried))
-        standing = self._quarantine.standing(content, self._loop.now(), own_ends)
-        if standing is Standing.QUARANTINED and content not in self._in_force:
+        standing = self._quarantine.status(content, self._loop.now(), own_ends)
+        if standing is ContentStatus.QUARANTINED and content not in self._in_force:
             # The record is on its way before a caller hears of it: this daemon may be replaced
             # before its next review.
             self._own.add(content)
@@ -131,7 +133,7 @@
     def settles_in(self, content: str, tried: Collection[str] = ()) -> float:
         """Return after how many seconds it is known how a request is treated; as ``standing``."""
         own_ends = set(map(endpoint_key, tried))
-        return self._quarantine.settles_in(content, self._loop.now(), own_ends)
+        return self._quarantine.seconds_until_decided(content, self._loop.now(), own_ends)
 
     def seconds_left(self, content: str) -> float:
         """Return for how long a content stays quarantined."""
@@ -139,7 +141,7 @@
 
     def choices(
         self,
-        standing: Standing,
+        standing: ContentStatus,
         entries: Sequence[EndpointEntry],
         avoided: Callable[[str], bool],
     ) -> list[EndpointEntry]:
@@ -149,7 +151,7 @@
         is left all are: a suspect request may be a healthy one.
         """
         now = self._loop.now()
-        if standing is Standing.SUSPECT:
+        if standing is ContentStatus.SUSPECT:
             alone = [
                 entry
                 for entry in entries
@@ -164,16 +166,16 @@
         free = [entry for entry in entries if entry.id not in self._alone_until_by_endpoint]
         return free or list(entries)
 
-    def sent(self, standing: Standing, endpoint: str) -> None:
+    def sent(self, standing: ContentStatus, endpoint: str) -> None:
         """Note where a request was sent."""
-        if standing is Standing.SUSPECT:
+        if standing is ContentStatus.SUSPECT:
             self._alone_until_by_endpoint[endpoint] = self._loop.now() + _ALONE_SECONDS
 
     def endpoint_ended(self, entry: EndpointEntry, witnesses: Iterable[Witness]) -> None:
         """Note which contents were at an endpoint that ended."""
         now = self._loop.now()
         for witness in witnesses:
-            self._quarantine.ended(
+            self._quarantine.record_crash(
                 witness.content,
                 endpoint_key(entry.id),
                 now,
@@ -185,16 +187,16 @@
 
     def served(self, content: str) -> None:
         """Note a whole answer."""
-        if self._quarantine.served(content, self._loop.now()):
+        if self._quarantine.record_served(content, self._loop.now()):
             self._review()
 
-    def words(self) -> tuple[EndingWord, ...]:
+    def words(self) -> tuple[CrashReport, ...]:
         """Return what peers are told."""
-        return self._quarantine.words(self._loop.now())
+        return self._quarantine.reports(self._loop.now())
 
-    def hear(self, words: Iterable[EndingWord]) -> None:
+    def hear(self, words: Iterable[CrashReport]) -> None:
         """Take what a peer says."""
-        if self._quarantine.hear(words, self._loop.now()):
+        if self._quarantine.merge_reports(words, self._loop.now()):
             self._loop.call_later(_REVIEW_SECONDS, self._review)
 
     def write_again(self) -> None:
@@ -209,7 +211,7 @@
     def _review(self) -> None:
         """Log what is newly quarantined or released, and keep what was seen here in the store."""
         now = self._loop.now()
-        in_force = set(self._quarantine.in_force(now))
+        in_force = set(self._quarantine.quarantined(now))
         for content in sorted(in_force - self._in_force):
             self._log(log_events.CONTENT_QUARANTINED, content)
             self._loop.call_later(QUARANTINE_SECONDS, self._review)
@@ -237,13 +239,13 @@
         return content in self._own or self._first()
 
     def _log(self, event: log_events.LogEvent, content: str) -> None:
-        word = self._quarantine.word(content, self._loop.now())
+        word = self._quarantine.report(content, self._loop.now())
         event.write(
             _logger,
             content=content,
-            ends=len(word.ends),
-            first_age=round(max((end.age for end in word.ends), default=0.0), 2),
-            last_age=round(min((end.age for end in word.ends), default=0.0), 2),
+            ends=len(word.crashes),
+            first_age=round(max((end.age for end in word.crashes), default=0.0), 2),
+            last_age=round(min((end.age for end in word.crashes), default=0.0), 2),
             seconds_left=round(self.seconds_left(content), 1),
         )
 
@@ -251,10 +253,10 @@
 
     def _record(self, content: str) -> SharedRecord:
         wall = self._loop.clock.now()
-        word = self._quarantine.word(content, self._loop.now())
+        word = self._quarantine.report(content, self._loop.now())
         ends = tuple(
             KeptEnd(end.endpoint, (wall - timedelta(seconds=end.age)).timestamp(), end.soon)
-            for end in word.ends
+            for end in word.crashes
         )
         return QuarantineRecord(content, ends).encode()
 
@@ -310,5 +312,5 @@
                 )
                 continue
             self.hear((kept.word(wall),))
-            if not self._quarantine.knows(kept.content):
+            if not self._quarantine.is_known(kept.content):
                 self._keep(SharedRecord(kept.content, b""))
--- a/src/brassdrum/gateway/peering/peer_messages.py
+++ b/src/brassdrum/gateway/peering/peer_messages.py
@@ -10,7 +10,7 @@
 from brassdrum.gateway.model import DaemonAddress
 from brassdrum.gateway.peering.wire import FieldReader, FieldWriter
 from brassdrum.gateway.placing.load import LoadRow
-from brassdrum.outcomes.quarantine import EndingWord, SeenEnd
+from brassdrum.outcomes.quarantine import CrashReport, ObservedCrash
 
 __all__ = [
     "Acknowledgement",
@@ -69,7 +69,7 @@
     failing: tuple[FailingWord, ...] = ()
     leaving: tuple[LeavingWord, ...] = ()
     doubts: tuple[str, ...] = ()
-    endings: tuple[EndingWord, ...] = ()
+    endings: tuple[CrashReport, ...] = ()
     era: int | None = None
 
 
@@ -298,15 +298,15 @@
         _write_ending(writer, word)
 
 
-def _write_ending(writer: FieldWriter, word: EndingWord) -> None:
+def _write_ending(writer: FieldWriter, word: CrashReport) -> None:
     """Append what is known of a content; one of three ends takes 37 bytes."""
     writer.number(int(word.content, 16), _CONTENT_BYTES)
     served = _NEVER if word.served_age is None else min(_NEVER - 1, _age_ms(word.served_age))
     writer.number(served, _AGE_BYTES)
-    writer.number(len(word.ends), 1)
-    writer.number(_marks(end.soon for end in word.ends), _MARK_BYTES)
-    writer.number(_marks(end.lived for end in word.ends), _MARK_BYTES)
-    for end in word.ends:
+    writer.number(len(word.crashes), 1)
+    writer.number(_marks(end.soon for end in word.crashes), _MARK_BYTES)
+    writer.number(_marks(end.lived for end in word.crashes), _MARK_BYTES)
+    for end in word.crashes:
         writer.number(end.endpoint, 4)
         writer.number(_age_ms(end.age), _AGE_BYTES)
 
@@ -319,13 +319,13 @@
     return max(0, round(age * 1000))
 
 
-def _read_ending(reader: FieldReader) -> EndingWord:
+def _read_ending(reader: FieldReader) -> CrashReport:
     content = f"{reader.number(_CONTENT_BYTES):0{2 * _CONTENT_BYTES}x}"
     served = reader.number(_AGE_BYTES)
     count = reader.number(1)
     soon, lived = reader.number(_MARK_BYTES), reader.number(_MARK_BYTES)
     ends = tuple(
-        SeenEnd(
+        ObservedCrash(
             reader.number(4),
             reader.number(_AGE_BYTES) / 1000,
             bool(soon >> place & 1),
@@ -333,7 +333,7 @@
         )
         for place in range(count)
     )
-    return EndingWord(content, ends, None if served == _NEVER else served / 1000)
+    return CrashReport(content, ends, None if served == _NEVER else served / 1000)
 
 
 def _read_belief(reader: FieldReader) -> PeerBelief:
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -29,7 +29,7 @@
 )
 from brassdrum.gateway.request.silence_watch import SilenceWatch
 from brassdrum.outcomes.fingerprint import content_fingerprint
-from brassdrum.outcomes.quarantine import Standing
+from brassdrum.outcomes.quarantine import ContentStatus
 from brassdrum.telemetry import log_events
 from brassdrum.telemetry.log_events import LogEvent
 
@@ -224,11 +224,11 @@
         """Choose endpoints and send; nothing else of this request is under way then."""
         self._silence.stop()
         standing = self._host.guard.standing(self.content, self.tried)
-        if standing is Standing.QUARANTINED:
+        if standing is ContentStatus.QUARANTINED:
             self._stop_waiting()
             self._keep_from_endpoints()
             return
-        if standing is Standing.UNDECIDED:
+        if standing is ContentStatus.UNDECIDED:
             # Other daemons may know who else was at the ends, or have just sent the same content.
             self._hold_back(self._host.guard.settles_in(self.content, self.tried))
             return
@@ -287,7 +287,7 @@
             self._waits = self._waits_for_place = False
             self._host.line.leave(self, served=served)
 
-    def _note_placed(self, placement: Placement, standing: Standing) -> None:
+    def _note_placed(self, placement: Placement, standing: ContentStatus) -> None:
         age = self._host.beliefs.list_age()
         self._decided(
             log_events.PLACED,
--- a/src/brassdrum/outcomes/claimer.py
+++ b/src/brassdrum/outcomes/claimer.py
@@ -36,35 +36,35 @@
     OutcomeRecord,
 )
 
-__all__ = ["Claimer", "Claims", "Won", "fingerprint_of", "key_time"]
+__all__ = ["Claimer", "ShardedClaims", "GrantedClaim", "request_fingerprint", "uuid7_timestamp"]
 
 _logger = logging.getLogger(__name__)
-_CLAIM_SECONDS = 2.0
-_RETRY_SECONDS = 0.05
-_OUTCOME_SECONDS = 1.0
+_CLAIM_TIMEOUT_SECONDS = 2.0
+_POLL_SECONDS = 0.05
+_OUTCOME_WAIT_SECONDS = 1.0
 # After the log came back from a copy all daemons have written the claims that it lacks within this.
-_WRITTEN_AGAIN_SECONDS = 2.0
+_REWRITE_SECONDS = 2.0
 _IN_PROGRESS_RETRY_SECONDS = 1.0
-_DOWN_RETRY_SECONDS = 5.0
-_LARGEST_BODY = 32 * 1024
+_LOG_UNAVAILABLE_RETRY_SECONDS = 5.0
+_MAX_BODY_BYTES = 32 * 1024
 _UUID7 = re.compile(r"^[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}$", re.I)
 
 
 @dataclass(frozen=True, slots=True)
-class Won:
+class GrantedClaim:
     """Hold a claim that may dispatch its request."""
 
     claim_id: str
 
 
-def fingerprint_of(method: str, path: str, body: bytes) -> str:
+def request_fingerprint(method: str, path: str, body: bytes) -> str:
     """Return what two requests with one key must share."""
     digest = hashlib.sha256(f"{method} {path}\n".encode())
     digest.update(body)
     return digest.hexdigest()
 
 
-def key_time(key: str) -> float | None:
+def uuid7_timestamp(key: str) -> float | None:
     """Return when a UUIDv7 key was made, in seconds since the epoch; other keys do not tell."""
     if not _UUID7.match(key):
         return None
@@ -82,19 +82,21 @@
         self._changed = threading.Condition()
         self.fold = ClaimFold(window_seconds)
         self.appender = BatchAppender(log, claim_stream(shard), clock)
-        self._refuses_until = -math.inf
+        self._refuse_until = -math.inf
         # Claims seen since the log came back from a copy, until those that it lacks are written.
-        self._seen_again: set[str] | None = None
+        self._ids_since_restore: set[str] | None = None
         self.tail = Tail(
             log,
             claim_stream(shard),
             clock,
             self._next_offset,
             self._apply,
-            on_restored=self._restored,
+            on_restored=self._on_restored,
         )
 
-    def claim(self, key: ClaimKey, fingerprint: str, deadline: float) -> Won | OutcomeRecord:
+    def claim(
+        self, key: ClaimKey, fingerprint: str, deadline: float
+    ) -> GrantedClaim | OutcomeRecord:
         """Win the key, or return the first request's outcome.
 
         Raises ``KeyReusedError``, ``RequestInProgressError`` or ``OutcomeUnknownError`` when
@@ -104,18 +106,18 @@
         if not self.tail.answers or not self.tail.caught_up:
             raise ClaimUnavailableError(
                 "The log does not answer; the request was not run.",
-                retry_after=_DOWN_RETRY_SECONDS,
+                retry_after=_LOG_UNAVAILABLE_RETRY_SECONDS,
             )
-        left = self._refuses_until - self._clock.monotonic()
+        left = self._refuse_until - self._clock.monotonic()
         if left > 0:
             raise ClaimUnavailableError(
                 "The log came back from a copy and claims are written again; the request was "
                 "not run.",
                 retry_after=left,
             )
-        held = self._other(key)
+        held = self._conflicting_claim(key)
         if held is not None:
-            return self._judge(held, fingerprint)
+            return self._resolve_conflict(held, fingerprint)
         claim_id = str(uuid.uuid4())
         record = ClaimRecord(
             format=1,
@@ -127,19 +129,19 @@
             daemon=self._daemon,
             deadline=deadline,
         )
-        if not self._written(record):
+        if not self._append_claim(record):
             self.abandon(claim_id)
             raise ClaimUnavailableError(
                 "The log did not confirm the claim in time; the request was not run.",
-                retry_after=_DOWN_RETRY_SECONDS,
+                retry_after=_LOG_UNAVAILABLE_RETRY_SECONDS,
             )
         with self._changed:
             if self.fold.holds(claim_id):
-                return Won(claim_id)
-        held = self._other(key)
+                return GrantedClaim(claim_id)
+        held = self._conflicting_claim(key)
         if held is None:
-            raise ClaimUnavailableError("The claim has lapsed.", retry_after=_RETRY_SECONDS)
-        return self._judge(held, fingerprint)
+            raise ClaimUnavailableError("The claim has lapsed.", retry_after=_POLL_SECONDS)
+        return self._resolve_conflict(held, fingerprint)
 
     def abandon(self, claim_id: str) -> None:
         """Give up a claim under which nothing was dispatched."""
@@ -149,7 +151,7 @@
     def finish(self, claim_id: str, status: int, content_type: str, body: bytes | None) -> None:
         """Keep the answer; a large body is left out and later callers learn only that it ran."""
         text = None
-        if body is not None and len(body) <= _LARGEST_BODY:
+        if body is not None and len(body) <= _MAX_BODY_BYTES:
             text = body.decode("utf-8", "replace")
         record = OutcomeRecord(
             format=1,
@@ -161,15 +163,15 @@
         )
         self.appender.append_lazy(record.model_dump())
 
-    def _written(self, record: ClaimRecord) -> bool:
-        limit = self._clock.monotonic() + _CLAIM_SECONDS
+    def _append_claim(self, record: ClaimRecord) -> bool:
+        limit = self._clock.monotonic() + _CLAIM_TIMEOUT_SECONDS
         value = record.model_dump()
         future = self.appender.append_urgent(value)
         while True:
             left = limit - self._clock.monotonic()
             if left <= 0:
                 return False
-            if self._seen(record.id, min(left, _RETRY_SECONDS)):
+            if self._wait_until_read(record.id, min(left, _POLL_SECONDS)):
                 return True
             try:
                 future.result(0)
@@ -177,24 +179,26 @@
                 continue
             except PlatformUnavailableError:
                 # Its answer may be lost only: look first, then append the same record again.
-                if self._seen(record.id, min(left, _RETRY_SECONDS)):
+                if self._wait_until_read(record.id, min(left, _POLL_SECONDS)):
                     return True
                 future = self.appender.append_urgent(value)
 
-    def _seen(self, claim_id: str, seconds: float) -> bool:
+    def _wait_until_read(self, claim_id: str, seconds: float) -> bool:
         with self._changed:
             return self._changed.wait_for(lambda: self.fold.get(claim_id) is not None, seconds)
 
-    def _other(self, key: ClaimKey) -> Claim | None:
+    def _conflicting_claim(self, key: ClaimKey) -> Claim | None:
         """Return the claim that holds a key, given a moment to finish."""
         with self._changed:
             held = self.fold.by_key.get(key)
             if held is None or held.state is ClaimState.ABANDONED:
                 return None
-            self._changed.wait_for(lambda: held.state is not ClaimState.CLAIMED, _OUTCOME_SECONDS)
+            self._changed.wait_for(
+                lambda: held.state is not ClaimState.CLAIMED, _OUTCOME_WAIT_SECONDS
+            )
             return None if held.state is ClaimState.ABANDONED else held
 
-    def _judge(self, held: Claim, fingerprint: str) -> OutcomeRecord:
+    def _resolve_conflict(self, held: Claim, fingerprint: str) -> OutcomeRecord:
         if held.fingerprint != fingerprint:
             raise KeyReusedError("The Idempotency-Key came with another request before.")
         if held.state is ClaimState.DONE and held.outcome is not None:
@@ -222,21 +226,21 @@
             self.fold.next_offset = max(self.fold.next_offset, page.earliest)
             for record in page.records:
                 self.fold.apply(record.offset, record.time, record.value)
-                if self._seen_again is not None and isinstance(record.value, dict):
-                    self._seen_again.add(str(record.value.get("id")))
-            if self._seen_again is not None and page.next_offset >= page.end:
-                self._write_again(self._seen_again)
-                self._seen_again = None
+                if self._ids_since_restore is not None and isinstance(record.value, dict):
+                    self._ids_since_restore.add(str(record.value.get("id")))
+            if self._ids_since_restore is not None and page.next_offset >= page.end:
+                self._rewrite_missing(self._ids_since_restore)
+                self._ids_since_restore = None
             self._changed.notify_all()
 
-    def _restored(self, _page: LogPage) -> None:
+    def _on_restored(self, _page: LogPage) -> None:
         """Read the log anew after it came back from a copy; nothing that is known is forgotten."""
         with self._changed:
-            self._refuses_until = self._clock.monotonic() + _WRITTEN_AGAIN_SECONDS
-            self._seen_again = set()
+            self._refuse_until = self._clock.monotonic() + _REWRITE_SECONDS
+            self._ids_since_restore = set()
             self.fold.next_offset = 0
 
-    def _write_again(self, seen: set[str]) -> None:
+    def _rewrite_missing(self, seen: set[str]) -> None:
         """Append the claims that hold keys, and their outcomes, where the copy lacks them.
 
         All daemons that know them do; a repeated record is harmless. Claims that lost are left out:
@@ -250,7 +254,7 @@
         _logger.warning("claims written again", extra={"count": len(lost)})
 
 
-class Claims:
+class ShardedClaims:
     """Spread keys over shards."""
 
     def __init__(
@@ -268,9 +272,9 @@
         for shard in self.shards:
             shard.fold.window_seconds = seconds
 
-    def shard(self, key: ClaimKey) -> Claimer:
+    def claimer_for(self, key: ClaimKey) -> Claimer:
         """Return the claimer of a key, or raise ``KeyExpiredError`` when it tells its age."""
-        made = key_time(key.key)
+        made = uuid7_timestamp(key.key)
         if made is not None and made + self.window_seconds < self._clock.now().timestamp():
             raise KeyExpiredError(
                 "The Idempotency-Key is older than the window in which keys are kept."
--- a/src/brassdrum/outcomes/claims.py
+++ b/src/brassdrum/outcomes/claims.py
@@ -24,14 +24,14 @@
 ]
 
 
-class _Strict(BaseModel):
+class _RecordModel(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 ClaimId = Annotated[str, Field(min_length=8, max_length=64)]
 
 
-class ClaimRecord(_Strict):
+class ClaimRecord(_RecordModel):
     """Claim an organisation's key before the request is dispatched."""
 
     format: Literal[1]
@@ -44,7 +44,7 @@
     deadline: float
 
 
-class AbandonRecord(_Strict):
+class AbandonRecord(_RecordModel):
     """Give a claim up before anything was dispatched under it."""
 
     format: Literal[1]
@@ -52,7 +52,7 @@
     id: ClaimId
 
 
-class OutcomeRecord(_Strict):
+class OutcomeRecord(_RecordModel):
     """Keep the answer that a claimed request got; a body over the limit is left out."""
 
     format: Literal[1]
@@ -63,7 +63,7 @@
     body: str | None
 
 
-_ADAPTER: TypeAdapter[ClaimRecord | AbandonRecord | OutcomeRecord] = TypeAdapter(
+_RECORD_ADAPTER: TypeAdapter[ClaimRecord | AbandonRecord | OutcomeRecord] = TypeAdapter(
     Annotated[ClaimRecord | AbandonRecord | OutcomeRecord, Field(discriminator="kind")]
 )
 
@@ -73,7 +73,7 @@
     if isinstance(value, dict) and isinstance(value.get("format"), int) and value["format"] > 1:
         raise NewerFormatError(f"claim record format {value['format']}")
     try:
-        return _ADAPTER.validate_python(value)
+        return _RECORD_ADAPTER.validate_python(value)
     except ValidationError as error:
         raise UnreadableRecordError(str(error.errors(include_url=False)[0]["msg"])) from error
 
@@ -107,7 +107,7 @@
     fingerprint: str
     daemon: str
     deadline: float
-    at: float
+    claimed_at: float
     state: ClaimState = ClaimState.UNCLAIMED
     outcome: OutcomeRecord | None = None
 
@@ -124,7 +124,7 @@
             deadline=self.deadline,
         )
 
-    def follow(self, trigger: str) -> bool:
+    def apply_trigger(self, trigger: str) -> bool:
         """Take the chart's edge for a trigger; return whether there is one."""
         if not _CHART.allows(self.state, trigger):
             return False
@@ -145,7 +145,7 @@
     needs_upgrade: str | None = None
     by_key: dict[ClaimKey, Claim] = field(default_factory=dict)
     _by_id: OrderedDict[str, Claim] = field(default_factory=OrderedDict)
-    _abandoned_early: OrderedDict[str, float] = field(default_factory=OrderedDict)
+    _abandoned_before_claim: OrderedDict[str, float] = field(default_factory=OrderedDict)
 
     def __len__(self) -> int:
         return len(self._by_id)
@@ -154,7 +154,7 @@
         """Apply the record appended at a time; garbage is counted and skipped."""
         if offset < self.next_offset or self.needs_upgrade is not None:
             return
-        self._forget(time)
+        self._expire(time)
         try:
             record = parse_claim_record(value)
         except NewerFormatError as error:
@@ -166,12 +166,12 @@
             return
         self.next_offset = offset + 1
         if isinstance(record, ClaimRecord):
-            self._claim(time, record)
+            self._apply_claim(time, record)
             return
         if isinstance(record, AbandonRecord):
-            self._abandon(time, record)
+            self._apply_abandon(time, record)
             return
-        self._finish(record)
+        self._apply_outcome(record)
 
     def get(self, claim_id: str) -> Claim | None:
         """Return a claim by its id, whether it won or lost, or None if it was not seen."""
@@ -184,43 +184,43 @@
             return False
         return self.by_key.get(claim.key) is claim
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         while self._by_id:
             claim = next(iter(self._by_id.values()))
-            if claim.at + self.window_seconds > now:
+            if claim.claimed_at + self.window_seconds > now:
                 break
             self._by_id.popitem(last=False)
             if self.by_key.get(claim.key) is claim:
                 del self.by_key[claim.key]
-        while self._abandoned_early:
-            if next(iter(self._abandoned_early.values())) + self.window_seconds > now:
+        while self._abandoned_before_claim:
+            if next(iter(self._abandoned_before_claim.values())) + self.window_seconds > now:
                 break
-            self._abandoned_early.popitem(last=False)
+            self._abandoned_before_claim.popitem(last=False)
 
-    def _claim(self, time: float, record: ClaimRecord) -> None:
+    def _apply_claim(self, time: float, record: ClaimRecord) -> None:
         if record.id in self._by_id:
             return
         key = ClaimKey(record.organisation, record.key)
         claim = Claim(record.id, key, record.fingerprint, record.daemon, record.deadline, time)
         self._by_id[record.id] = claim
-        if self._abandoned_early.pop(record.id, None) is not None:
+        if self._abandoned_before_claim.pop(record.id, None) is not None:
             # A late append of a claim whose daemon gave up: it was never dispatched.
-            claim.follow("abandon")
-        claim.follow("claim")
+            claim.apply_trigger("abandon")
+        claim.apply_trigger("claim")
         if claim.state is ClaimState.ABANDONED:
             return
         holder = self.by_key.get(key)
         if holder is None or holder.state is ClaimState.ABANDONED:
             self.by_key[key] = claim
 
-    def _abandon(self, time: float, record: AbandonRecord) -> None:
+    def _apply_abandon(self, time: float, record: AbandonRecord) -> None:
         claim = self._by_id.get(record.id)
         if claim is None:
-            self._abandoned_early[record.id] = time
+            self._abandoned_before_claim[record.id] = time
             return
-        claim.follow("abandon")
+        claim.apply_trigger("abandon")
 
-    def _finish(self, record: OutcomeRecord) -> None:
+    def _apply_outcome(self, record: OutcomeRecord) -> None:
         claim = self._by_id.get(record.id)
-        if claim is not None and claim.follow("finish"):
+        if claim is not None and claim.apply_trigger("finish"):
             claim.outcome = record
