--- a/src/brassdrum/outcomes/__init__.py
+++ b/src/brassdrum/outcomes/__init__.py
@@ -1,1 +1,1 @@
-"""Outcomes: claims, retries, resumed streams and whole answers."""
+"""Idempotency claims, retries, stream resumption and crash quarantine."""
--- a/src/brassdrum/outcomes/breaker.py
+++ b/src/brassdrum/outcomes/breaker.py
@@ -1,4 +1,4 @@
-"""Stop sending to an endpoint that fails; an endpoint that is merely full does not count."""
+"""Circuit breaker for endpoints that fail; refusals for lack of capacity do not count."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class CircuitBreaker:
-    """Count failures in a row; open for a growing time, then let single probes through."""
+    """Open after consecutive failures, with exponential backoff and single half-open probes."""
 
     state: str = _CHART.initial
     failures: int = 0
@@ -31,21 +31,21 @@
         return now >= self.open_until and now >= self._probe_until
 
     def record_sent(self, now: float) -> None:
-        """Note that a request is sent; while it probes, others wait for its result."""
+        """Record that a request is sent; a probe blocks other requests until its result."""
         if self.state == _CHART.initial:
             return
         self.state = _CHART.next(self.state, "probe")
         self._probe_until = now + _FIRST_OPEN_SECONDS
 
     def record_success(self) -> None:
-        """Note an answer of any kind."""
+        """Record a response with any status, and close the breaker."""
         self.state = _CHART.next(self.state, "recover")
         self.failures = 0
         self._open_count = 0
         self._probe_until = 0.0
 
     def record_failure(self, now: float) -> None:
-        """Note a refused connection, a broken answer or silence."""
+        """Record a refused connection, a truncated response or a timeout."""
         self.failures += 1
         if self.failures < _FAILURES_TO_OPEN:
             return
