--- a/src/brassdrum/outcomes/retries.py
+++ b/src/brassdrum/outcomes/retries.py
@@ -1,4 +1,4 @@
-"""Decide whether a failed request may be tried again, and when."""
+"""Retry policy and retry budget for failed requests."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 class RetryBudget:
-    """Keep retries below a share of the requests, so that failures cause no storm."""
+    """Limit retries to a share of the requests, to avoid retry storms."""
 
     def __init__(self, share: float) -> None:
         self._share = share
         self._available = _INITIAL_RETRIES
 
     def record_request(self) -> None:
-        """Earn a part of a retry by a first attempt."""
+        """Add to the budget for a first attempt."""
         self._available = min(self._available + self._share, _INITIAL_RETRIES * 10)
 
     def spend(self) -> bool:
-        """Take one retry, or return False when none is left."""
+        """Take one retry from the budget; return False if it is exhausted."""
         if self._available < 1.0:
             return False
         self._available -= 1.0
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryDecision:
-    """Tell whether to try again, after how many seconds, or why not."""
+    """Whether to retry, after which delay, or the reason why not."""
 
     retry: bool
     delay_seconds: float = 0.0
@@ -44,7 +44,7 @@
 
 
 class RetryPolicy:
-    """Allow repeats only where nothing ran or repeating does no harm."""
+    """Allow retries only if the request did not run or is safe to repeat."""
 
     def __init__(self, budget: RetryBudget, rng: random.Random) -> None:
         self._budget = budget
@@ -59,19 +59,19 @@
         response_started: bool,
         time_left: float,
     ) -> RetryDecision:
-        """Return what to do after the given attempt, counted from 1, failed."""
+        """Return the decision after a failed attempt; attempts are counted from 1."""
         if response_started:
-            return RetryDecision(False, reason="part of the answer was sent")
+            return RetryDecision(False, reason="part of the response was sent")
         if error.ran is not Ran.NO and not repeatable:
-            return RetryDecision(False, reason="it may have run and may not be repeated")
+            return RetryDecision(False, reason="it may have run and is not repeatable")
         if attempt >= _MAX_ATTEMPTS:
-            return RetryDecision(False, reason="attempts used up")
-        longest = min(_MAX_DELAY_SECONDS, _BASE_DELAY_SECONDS * 2**attempt)
-        pause = self._random.uniform(0.0, longest)
-        if pause >= time_left:
-            return RetryDecision(False, reason="no time left")
-        # A refused connection burdens no endpoint; only the attempts of the request bound it. Paid
-        # from the budget, one dead engine of three used up 8 of 13 retries in a second.
+            return RetryDecision(False, reason="maximum number of attempts reached")
+        max_delay = min(_MAX_DELAY_SECONDS, _BASE_DELAY_SECONDS * 2**attempt)
+        delay = self._random.uniform(0.0, max_delay)
+        if delay >= time_left:
+            return RetryDecision(False, reason="deadline too close")
+        # A refused connection puts no load on an endpoint, so only the attempt limit applies;
+        # otherwise a single unreachable endpoint would exhaust the budget.
         if not isinstance(error, EndpointUnreachableError) and not self._budget.spend():
-            return RetryDecision(False, reason="retry budget used up")
-        return RetryDecision(True, pause)
+            return RetryDecision(False, reason="retry budget exhausted")
+        return RetryDecision(True, delay)
