--- a/src/brassdrum/outcomes/fingerprint.py
+++ b/src/brassdrum/outcomes/fingerprint.py
@@ -1,4 +1,4 @@
-"""Name the content of a request, so that the same one is known again at any daemon."""
+"""Content fingerprints, which identify repeated requests at any daemon."""
 
 from __future__ import annotations
 
@@ -6,14 +6,13 @@
 
 __all__ = ["content_fingerprint"]
 
-# 8 bytes: among a million contents two share a name once in 37 million fleets.
-_DIGEST_BYTES = 8
+_DIGEST_BYTES = 8  # negligible collision probability among a million contents
 
 
 def content_fingerprint(caller: str, *parts: bytes) -> str:
-    """Return 16 hex digits of who asks for what: the caller, and the method, path and body.
+    """Return a digest of 16 hex digits of the caller and the method, path and body.
 
-    The id of the attempt is no part of it: a caller that comes again has another one.
+    The attempt id is left out, since it differs for each retry by the caller.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in (caller.encode(), *parts):
