--- a/src/brassdrum/outcomes/stream.py
+++ b/src/brassdrum/outcomes/stream.py
@@ -1,4 +1,4 @@
-"""Check each event of an engine's stream before a caller may see it."""
+"""Checks on the events of an engine's stream before they are sent to the caller."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EventVerdict(StrEnum):
-    """Tell what to do with an event."""
+    """Result of checking an event; all but ``DELIVER`` are dropped."""
 
     DELIVER = "deliver"
     REPEATED = "repeated"
@@ -22,27 +22,27 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """Hold one SSE event; ``name`` is its id ``STREAM/INDEX``, empty on the final mark."""
+    """A server-sent event; ``event_id`` is ``STREAM/INDEX``, or empty for the ``[DONE]`` event."""
 
     event_id: str
     data: bytes
 
     @property
     def is_done(self) -> bool:
-        """Return whether this marks the whole answer's end."""
+        """Return whether this is the ``[DONE]`` event that ends the response."""
         return self.data == b"[DONE]"
 
 
 @dataclass(frozen=True, slots=True)
 class CheckedEvent:
-    """Hold one event that the caller may see."""
+    """An event to deliver to the caller."""
 
     index: int
     data: bytes
 
 
 class StreamChecker:
-    """Let through one stream's events in order, each once."""
+    """Accept the events of one stream in order, each exactly once."""
 
     def __init__(self, stream: str, next_index: int = 0) -> None:
         self._prefix = f"{stream}/"
@@ -50,7 +50,7 @@
         self.dropped = 0
 
     def check(self, name: str) -> EventVerdict:
-        """Return the verdict on an event's id and count what is dropped."""
+        """Return the verdict on an event id; count dropped events."""
         if name == f"{self._prefix}{self.next_index}":
             self.next_index += 1
             return EventVerdict.DELIVER
@@ -64,7 +64,7 @@
 
 
 class StreamAssembler:
-    """Turn the bytes of one connection after another into a stream's events, each once."""
+    """Assemble the events of a stream, each once, from consecutive connections."""
 
     def __init__(
         self, stream: str, next_index: int, on_dropped: Callable[[EventVerdict], None]
@@ -78,16 +78,16 @@
 
     @property
     def next_index(self) -> int:
-        """Return the index of the first event still missing."""
+        """Return the index of the next expected event."""
         return self._checker.next_index
 
     def restart(self) -> None:
-        """Begin with a new connection that starts at ``next_index``."""
+        """Continue on a new connection, which starts at ``next_index``."""
         self._buffer = b""
         self.broken = False
 
     def feed(self, data: bytes) -> list[CheckedEvent]:
-        """Return the events that became complete; sets ``whole`` or ``broken`` at an end."""
+        """Return newly completed events; set ``complete`` or ``broken`` when the stream ends."""
         *blocks, self._buffer = (self._buffer + data).split(b"\n\n")
         events = []
         for block in blocks:
