--- a/src/brassdrum/outcomes/appender.py
+++ b/src/brassdrum/outcomes/appender.py
@@ -1,4 +1,4 @@
-"""Write records of one stream in groups, so that many cost one append."""
+"""Batching of appends to one log stream."""
 
 from __future__ import annotations
 
@@ -28,10 +28,11 @@
 
 
 class BatchAppender:
-    """Append urgent records within milliseconds; lazy ones ride along or wait a little.
+    """Append urgent records within milliseconds; lazy ones join a batch or wait for a short time.
 
-    An urgent record whose append fails is given back to its writer, who reads on to learn the
-    truth. Lazy records are appended again until the log answers; a repeated one is harmless.
+    If the append of an urgent record fails, its future raises the error; the writer reads the log
+    to find out whether the record was written. Lazy records are retried until the append succeeds,
+    so they must be idempotent.
     """
 
     def __init__(self, log: Log, stream: str, clock: Clock) -> None:
@@ -45,7 +46,7 @@
         self.appends = 0
 
     def append_urgent(self, value: dict[str, object]) -> Future[int]:
-        """Append soon; the future gives the offset or raises ``PlatformUnavailableError``."""
+        """Append soon; the future returns the offset or raises ``PlatformUnavailableError``."""
         pending = _Pending(value)
         with self._changed:
             self._urgent.append(pending)
@@ -53,7 +54,7 @@
         return pending.future
 
     def append_lazy(self, value: dict[str, object]) -> None:
-        """Append when it costs little, and again until the log has it."""
+        """Append with a later batch; retry until the log confirms it."""
         with self._changed:
             self._lazy.append(_Pending(value))
             if self._lazy_since is None:
@@ -62,12 +63,12 @@
 
     @property
     def unwritten(self) -> int:
-        """Return how many records wait for the log."""
+        """Return the number of records not yet appended."""
         with self._changed:
             return len(self._urgent) + len(self._lazy)
 
     def step(self) -> None:
-        """Wait for records and append one group."""
+        """Wait for records and append one batch."""
         with self._changed:
             self._changed.wait_for(lambda: bool(self._urgent or self._lazy), _IDLE_WAIT_SECONDS)
             self._changed.wait_for(self._batch_due, _LAZY_LINGER_SECONDS)
@@ -113,8 +114,8 @@
         self._clock.sleep(_RETRY_DELAY_SECONDS)
 
 
-def _pop_up_to(queue: deque[_Pending], most: int) -> list[_Pending]:
-    taken = []
-    while queue and len(taken) < most:
-        taken.append(queue.popleft())
-    return taken
+def _pop_up_to(queue: deque[_Pending], limit: int) -> list[_Pending]:
+    popped = []
+    while queue and len(popped) < limit:
+        popped.append(queue.popleft())
+    return popped
