--- a/features/steps/log_copy_steps.py
+++ b/features/steps/log_copy_steps.py
@@ -74,7 +74,7 @@
 @when('a hold is sent with key "{key}" and body "{body}" as soon as the daemon knows')
 def step_as_soon(context, key, body):
     claimer = context.site.daemons[0].core.claims.shards[0]
-    eventually(lambda: claimer._refuses_until > 0, "the daemon knows of the return")
+    eventually(lambda: claimer._refuse_until > 0, "the daemon knows of the return")
     headers = {"Idempotency-Key": key}
     context.answer = caller(context).send("POST", HOLDS, body.encode(), headers)
 
