--- a/src/brassdrum/outcomes/claimer.py
+++ b/src/brassdrum/outcomes/claimer.py
@@ -1,4 +1,4 @@
-"""Claim idempotency keys in the platform's log before a request is dispatched."""
+"""Claim idempotency keys in the platform's log before requests are dispatched."""
 
 from __future__ import annotations
 
@@ -42,8 +42,7 @@
 _CLAIM_TIMEOUT_SECONDS = 2.0
 _POLL_SECONDS = 0.05
 _OUTCOME_WAIT_SECONDS = 1.0
-# After the log came back from a copy all daemons have written the claims that it lacks within this.
-_REWRITE_SECONDS = 2.0
+_REWRITE_SECONDS = 2.0  # for all daemons to rewrite claims that a restored log lacks
 _IN_PROGRESS_RETRY_SECONDS = 1.0
 _LOG_UNAVAILABLE_RETRY_SECONDS = 5.0
 _MAX_BODY_BYTES = 32 * 1024
@@ -52,27 +51,27 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantedClaim:
-    """Hold a claim that may dispatch its request."""
+    """A claim that holds its key; its request may be dispatched."""
 
     claim_id: str
 
 
 def request_fingerprint(method: str, path: str, body: bytes) -> str:
-    """Return what two requests with one key must share."""
+    """Return a digest that must be equal for all requests with the same key."""
     digest = hashlib.sha256(f"{method} {path}\n".encode())
     digest.update(body)
     return digest.hexdigest()
 
 
 def uuid7_timestamp(key: str) -> float | None:
-    """Return when a UUIDv7 key was made, in seconds since the epoch; other keys do not tell."""
+    """Return the timestamp of a UUIDv7 key in epoch seconds, or None for other keys."""
     if not _UUID7.match(key):
         return None
     return int(key.replace("-", "")[:12], 16) / 1000.0
 
 
 class Claimer:
-    """Claim the keys of one shard."""
+    """Claims keys of one shard."""
 
     def __init__(
         self, log: Log, shard: int, daemon: str, clock: Clock, window_seconds: float
@@ -83,7 +82,7 @@
         self.fold = ClaimFold(window_seconds)
         self.appender = BatchAppender(log, claim_stream(shard), clock)
         self._refuse_until = -math.inf
-        # Claims seen since the log came back from a copy, until those that it lacks are written.
+        # Ids read while a restored log is read again, to find missing claims; otherwise None.
         self._ids_since_restore: set[str] | None = None
         self.tail = Tail(
             log,
@@ -97,27 +96,27 @@
     def claim(
         self, key: ClaimKey, fingerprint: str, deadline: float
     ) -> GrantedClaim | OutcomeRecord:
-        """Win the key, or return the first request's outcome.
+        """Claim the key, or return the outcome of the first request with this key.
 
-        Raises ``KeyReusedError``, ``RequestInProgressError`` or ``OutcomeUnknownError`` when
-        another claim holds the key, ``ClaimUnavailableError`` when the log does not answer;
-        nothing ran for this request.
+        Raises ``KeyReusedError``, ``RequestInProgressError`` or ``OutcomeUnknownError`` if another
+        claim holds the key, and ``ClaimUnavailableError`` if the log is unavailable. In all these
+        cases this request was not run.
         """
         if not self.tail.answers or not self.tail.caught_up:
             raise ClaimUnavailableError(
-                "The log does not answer; the request was not run.",
+                "The log is unavailable; the request was not run.",
                 retry_after=_LOG_UNAVAILABLE_RETRY_SECONDS,
             )
         left = self._refuse_until - self._clock.monotonic()
         if left > 0:
             raise ClaimUnavailableError(
-                "The log came back from a copy and claims are written again; the request was "
+                "The log was restored from a copy and claims are being rewritten; the request was "
                 "not run.",
                 retry_after=left,
             )
-        held = self._conflicting_claim(key)
-        if held is not None:
-            return self._resolve_conflict(held, fingerprint)
+        existing = self._conflicting_claim(key)
+        if existing is not None:
+            return self._resolve_conflict(existing, fingerprint)
         claim_id = str(uuid.uuid4())
         record = ClaimRecord(
             format=1,
@@ -138,18 +137,21 @@
         with self._changed:
             if self.fold.holds(claim_id):
                 return GrantedClaim(claim_id)
-        held = self._conflicting_claim(key)
-        if held is None:
-            raise ClaimUnavailableError("The claim has lapsed.", retry_after=_POLL_SECONDS)
-        return self._resolve_conflict(held, fingerprint)
+        existing = self._conflicting_claim(key)
+        if existing is None:
+            raise ClaimUnavailableError(
+                "The claim was abandoned or has expired; the request was not run.",
+                retry_after=_POLL_SECONDS,
+            )
+        return self._resolve_conflict(existing, fingerprint)
 
     def abandon(self, claim_id: str) -> None:
-        """Give up a claim under which nothing was dispatched."""
+        """Abandon a claim under which nothing was dispatched."""
         record = AbandonRecord(format=1, kind="abandon", id=claim_id)
         self.appender.append_lazy(record.model_dump())
 
     def finish(self, claim_id: str, status: int, content_type: str, body: bytes | None) -> None:
-        """Keep the answer; a large body is left out and later callers learn only that it ran."""
+        """Record the response to a claimed request; a large body is not stored."""
         text = None
         if body is not None and len(body) <= _MAX_BODY_BYTES:
             text = body.decode("utf-8", "replace")
@@ -164,11 +166,11 @@
         self.appender.append_lazy(record.model_dump())
 
     def _append_claim(self, record: ClaimRecord) -> bool:
-        limit = self._clock.monotonic() + _CLAIM_TIMEOUT_SECONDS
+        time_limit = self._clock.monotonic() + _CLAIM_TIMEOUT_SECONDS
         value = record.model_dump()
         future = self.appender.append_urgent(value)
         while True:
-            left = limit - self._clock.monotonic()
+            left = time_limit - self._clock.monotonic()
             if left <= 0:
                 return False
             if self._wait_until_read(record.id, min(left, _POLL_SECONDS)):
@@ -178,7 +180,7 @@
             except FutureTimeout:
                 continue
             except PlatformUnavailableError:
-                # Its answer may be lost only: look first, then append the same record again.
+                # The append may have succeeded: read the log before retrying the same record.
                 if self._wait_until_read(record.id, min(left, _POLL_SECONDS)):
                     return True
                 future = self.appender.append_urgent(value)
@@ -188,33 +190,33 @@
             return self._changed.wait_for(lambda: self.fold.get(claim_id) is not None, seconds)
 
     def _conflicting_claim(self, key: ClaimKey) -> Claim | None:
-        """Return the claim that holds a key, given a moment to finish."""
+        """Return the claim that holds a key, after waiting briefly for its outcome."""
         with self._changed:
-            held = self.fold.by_key.get(key)
-            if held is None or held.state is ClaimState.ABANDONED:
+            existing = self.fold.by_key.get(key)
+            if existing is None or existing.state is ClaimState.ABANDONED:
                 return None
             self._changed.wait_for(
-                lambda: held.state is not ClaimState.CLAIMED, _OUTCOME_WAIT_SECONDS
+                lambda: existing.state is not ClaimState.CLAIMED, _OUTCOME_WAIT_SECONDS
             )
-            return None if held.state is ClaimState.ABANDONED else held
-
-    def _resolve_conflict(self, held: Claim, fingerprint: str) -> OutcomeRecord:
-        if held.fingerprint != fingerprint:
-            raise KeyReusedError("The Idempotency-Key came with another request before.")
-        if held.state is ClaimState.DONE and held.outcome is not None:
-            if held.outcome.body is not None:
-                return held.outcome
+            return None if existing.state is ClaimState.ABANDONED else existing
+
+    def _resolve_conflict(self, existing: Claim, fingerprint: str) -> OutcomeRecord:
+        if existing.fingerprint != fingerprint:
+            raise KeyReusedError("The Idempotency-Key was already used for a different request.")
+        if existing.state is ClaimState.DONE and existing.outcome is not None:
+            if existing.outcome.body is not None:
+                return existing.outcome
             raise OutcomeUnknownError(
-                f"The first request ran and was answered with status {held.outcome.status}; "
-                "its answer was too large to keep."
+                f"The first request ran and returned status {existing.outcome.status}; "
+                "the response was too large to store."
             )
-        if held.deadline > self._clock.now().timestamp():
+        if existing.deadline > self._clock.now().timestamp():
             raise RequestInProgressError(
-                "The first request with this key has not finished.",
+                "The first request with this key is still in progress.",
                 retry_after=_IN_PROGRESS_RETRY_SECONDS,
             )
         raise OutcomeUnknownError(
-            "The first request with this key may have run; its answer was lost."
+            "The first request with this key may have run; its response is unknown."
         )
 
     def _next_offset(self) -> int:
@@ -222,7 +224,7 @@
 
     def _apply(self, page: LogPage) -> None:
         with self._changed:
-            # Records that the log forgot are older than the window, which is below retention.
+            # Truncated records have expired: the window is shorter than the log's retention.
             self.fold.next_offset = max(self.fold.next_offset, page.earliest)
             for record in page.records:
                 self.fold.apply(record.offset, record.time, record.value)
@@ -234,28 +236,28 @@
             self._changed.notify_all()
 
     def _on_restored(self, _page: LogPage) -> None:
-        """Read the log anew after it came back from a copy; nothing that is known is forgotten."""
+        """Read a restored log from the start, keeping the claims known so far."""
         with self._changed:
             self._refuse_until = self._clock.monotonic() + _REWRITE_SECONDS
             self._ids_since_restore = set()
             self.fold.next_offset = 0
 
     def _rewrite_missing(self, seen: set[str]) -> None:
-        """Append the claims that hold keys, and their outcomes, where the copy lacks them.
+        """Append claims that hold keys, and their outcomes, if the restored log lacks them.
 
-        All daemons that know them do; a repeated record is harmless. Claims that lost are left out:
-        the first one in the log wins.
+        Every daemon does so; duplicate records have no effect. Claims that do not hold their key
+        are left out, since the first one in the log would win.
         """
-        lost = [claim for claim in self.fold.by_key.values() if claim.id not in seen]
-        for claim in lost:
+        missing = [claim for claim in self.fold.by_key.values() if claim.id not in seen]
+        for claim in missing:
             self.appender.append_lazy(claim.record().model_dump())
             if claim.outcome is not None:
                 self.appender.append_lazy(claim.outcome.model_dump())
-        _logger.warning("claims written again", extra={"count": len(lost)})
+        _logger.warning("missing claims rewritten after log restore", extra={"count": len(missing)})
 
 
 class ShardedClaims:
-    """Spread keys over shards."""
+    """Claimers for all shards; keys are assigned by hash."""
 
     def __init__(
         self, log: Log, shards: int, daemon: str, clock: Clock, window_seconds: float
@@ -267,17 +269,20 @@
         ]
 
     def set_window(self, seconds: float) -> None:
-        """Change how long keys are kept."""
+        """Set how long keys are retained."""
         self.window_seconds = seconds
         for shard in self.shards:
             shard.fold.window_seconds = seconds
 
     def claimer_for(self, key: ClaimKey) -> Claimer:
-        """Return the claimer of a key, or raise ``KeyExpiredError`` when it tells its age."""
-        made = uuid7_timestamp(key.key)
-        if made is not None and made + self.window_seconds < self._clock.now().timestamp():
+        """Return the claimer for a key; raise ``KeyExpiredError`` for an expired UUIDv7 key."""
+        created_at = uuid7_timestamp(key.key)
+        if (
+            created_at is not None
+            and created_at + self.window_seconds < self._clock.now().timestamp()
+        ):
             raise KeyExpiredError(
-                "The Idempotency-Key is older than the window in which keys are kept."
+                "The Idempotency-Key is older than the retention window for keys."
             )
         digest = xxhash.xxh3_64_intdigest(f"{key.organisation}\0{key.key}".encode())
         return self.shards[digest % len(self.shards)]
