--- a/src/brassdrum/outcomes/claims.py
+++ b/src/brassdrum/outcomes/claims.py
@@ -1,4 +1,4 @@
-"""Judge claims on idempotency keys from the order of a claim stream alone."""
+"""Claims on idempotency keys, decided by the order of records in a claim stream."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ClaimRecord(_RecordModel):
-    """Claim an organisation's key before the request is dispatched."""
+    """Claim of an organisation's key, written before the request is dispatched."""
 
     format: Literal[1]
     kind: Literal["claim"]
@@ -45,7 +45,7 @@
 
 
 class AbandonRecord(_RecordModel):
-    """Give a claim up before anything was dispatched under it."""
+    """Withdrawal of a claim under which nothing was dispatched."""
 
     format: Literal[1]
     kind: Literal["abandon"]
@@ -53,7 +53,7 @@
 
 
 class OutcomeRecord(_RecordModel):
-    """Keep the answer that a claimed request got; a body over the limit is left out."""
+    """Response to a claimed request; ``body`` is None if it exceeds the size limit."""
 
     format: Literal[1]
     kind: Literal["outcome"]
@@ -82,7 +82,7 @@
 
 
 class ClaimState(StrEnum):
-    """Name the states of a claim; ``charts/claim.json`` gives their order."""
+    """States of a claim; ``charts/claim.json`` defines the transitions."""
 
     UNCLAIMED = "unclaimed"
     CLAIMED = "claimed"
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimKey:
-    """Identify an idempotency key within its organisation."""
+    """An idempotency key, scoped to its organisation."""
 
     organisation: str
     key: str
@@ -100,7 +100,10 @@
 
 @dataclass(slots=True)
 class Claim:
-    """Hold one claim; the first in the log for its key wins."""
+    """A claim on a key; the first claim in the log wins.
+
+    ``claimed_at`` is the time that the log assigned to the record.
+    """
 
     id: str
     key: ClaimKey
@@ -112,7 +115,7 @@
     outcome: OutcomeRecord | None = None
 
     def record(self) -> ClaimRecord:
-        """Return the record that made this claim."""
+        """Return this claim as a log record."""
         return ClaimRecord(
             format=1,
             kind="claim",
@@ -125,7 +128,7 @@
         )
 
     def apply_trigger(self, trigger: str) -> bool:
-        """Take the chart's edge for a trigger; return whether there is one."""
+        """Make the transition for a trigger; return False if the state has none."""
         if not _CHART.allows(self.state, trigger):
             return False
         self.state = ClaimState(_CHART.next(self.state, trigger))
@@ -134,9 +137,9 @@
 
 @dataclass(slots=True)
 class ClaimFold:
-    """Hold the claims that follow from the records of one stream.
+    """The state of all claims, computed from the records of one stream.
 
-    Ages are told by the times that the log gave its records, so that no daemon's clock matters.
+    Claims expire by the timestamps that the log assigned, so daemons' clocks do not matter.
     """
 
     window_seconds: float
@@ -151,7 +154,7 @@
         return len(self._by_id)
 
     def apply(self, offset: int, time: float, value: object) -> None:
-        """Apply the record appended at a time; garbage is counted and skipped."""
+        """Apply a record; unreadable records are counted and skipped."""
         if offset < self.next_offset or self.needs_upgrade is not None:
             return
         self._expire(time)
@@ -174,11 +177,11 @@
         self._apply_outcome(record)
 
     def get(self, claim_id: str) -> Claim | None:
-        """Return a claim by its id, whether it won or lost, or None if it was not seen."""
+        """Return a claim by its id, whether or not it holds its key, or None if it is unknown."""
         return self._by_id.get(claim_id)
 
     def holds(self, claim_id: str) -> bool:
-        """Return whether this claim is the one that may dispatch its key's request."""
+        """Return whether this claim holds its key and may dispatch the request."""
         claim = self._by_id.get(claim_id)
         if claim is None or claim.state is not ClaimState.CLAIMED:
             return False
@@ -204,7 +207,7 @@
         claim = Claim(record.id, key, record.fingerprint, record.daemon, record.deadline, time)
         self._by_id[record.id] = claim
         if self._abandoned_before_claim.pop(record.id, None) is not None:
-            # A late append of a claim whose daemon gave up: it was never dispatched.
+            # The record was appended after its daemon abandoned the claim.
             claim.apply_trigger("abandon")
         claim.apply_trigger("claim")
         if claim.state is ClaimState.ABANDONED:
