--- a/src/brassdrum/outcomes/crash_attribution.py
+++ b/src/brassdrum/outcomes/crash_attribution.py
@@ -1,8 +1,9 @@
-"""Charge ends of endpoints to the contents that explain them; pure, the times are arguments.
+"""Attribute endpoint crashes to the request contents that most likely caused them.
 
-An endpoint that ends takes all its requests with it, and only one of them may be the cause. Each
-end speaks with a weight against each content that was there. All are charged to the fewest contents
-that explain them: the one with most weight first, then the one with most of what is left.
+A crash fails all requests in flight at the endpoint, but only one of them may be the cause. Each
+crash adds weight to every content that was in flight. Crashes are then attributed greedily to as
+few contents as possible: first to the content with the highest weight, then to the one with the
+highest weight among the remaining crashes. The functions are pure; times are arguments.
 """
 
 from __future__ import annotations
@@ -18,41 +19,41 @@
     "SOON_SECONDS",
     "SUSPECT_WEIGHT",
     "TRUSTED_SECONDS",
-    "CrashEvidence",
     "Crash",
+    "CrashEvidence",
     "attribute_crashes",
 ]
 
-# An end of an endpoint that had the request weighs 2. It weighs 1 where it came in the moment in
-# which the request was sent, for the endpoint may have ended before, or beside another endpoint's.
+# Weight of one crash. It is halved if the endpoint may have crashed before it received the request,
+# or if another endpoint crashed at the same time.
 _FULL_WEIGHT = 2
 _HALF_WEIGHT = 1
-# The operator's contract takes three ends for proof; until then the request is sent on.
+# Set by the operator's contract; after fewer crashes the request is still dispatched.
 REQUIRED_CRASHES = 3
 _REQUIRED_WEIGHT = REQUIRED_CRASHES * _FULL_WEIGHT
-# What was answered whole is at many ends because many callers ask for it, or because an engine has
-# changed since. It is sent alone from the second end on, and twice the proof is awaited.
+# A content with a recent complete response may be in flight at many crashes only because many
+# callers share it, so it takes twice the weight.
 _TRUSTED_REQUIRED_WEIGHT = 2 * _REQUIRED_WEIGHT
-# A whole answer speaks for a content for this long, as long as a proof speaks against it.
+# How long a complete response counts in favour of a content; equal to the quarantine time.
 TRUSTED_SECONDS = 600.0
-# From here on a request is sent alone where it can be: its end then costs nobody else a stream, and
-# those who were beside it before are cleared.
+# From this weight on a request is sent to an idle endpoint if possible, so that a crash affects no
+# other stream and clears the contents that were in flight beside it before.
 SUSPECT_WEIGHT = 2 * _FULL_WEIGHT
-# Two contents that were at the same ends are told apart by the next one; beyond this many both are
-# charged. Streams are spread over a dozen engines: to be at five ends of another is one in 20,000.
+# Contents with the same crashes are usually told apart by the next crash. From this weight on, all
+# of them are blamed, since so many coincidences are very unlikely.
 _BLAME_ALL_WEIGHT = 5 * _FULL_WEIGHT
-# Endpoints that end within this of each other end in one moment: daemons see one failure within
-# 0.02 s. From this many on a host, a rack or a network is the cause, unless a content was at half.
+# Crashes this close together count as simultaneous. From this many on, a host, rack or network
+# failure is assumed, unless a content was in flight at half of the endpoints.
 _SIMULTANEOUS_SECONDS = 0.05
 _MASS_FAILURE_COUNT = 3
-# An end comes soon after a request was sent if it comes within this: requests that end endpoints do
-# so at once; others run there for seconds to minutes.
+# A crash counts as soon after a request was sent if it comes within this time: requests that crash
+# endpoints do so at once, while others run for seconds to minutes.
 SOON_SECONDS = 0.5
 
 
 @dataclass(slots=True)
 class Crash:
-    """Hold when an endpoint ended, and how a content was there; as ``SeenEnd`` says it."""
+    """Crash with a content in flight; ``soon`` and ``lived`` as in ``ObservedCrash``."""
 
     at: float
     soon: bool
@@ -61,7 +62,7 @@
 
 @dataclass(slots=True)
 class CrashEvidence:
-    """Hold what speaks against a content, and for it."""
+    """Crashes at which a content was in flight, and its last complete response."""
 
     crash_by_endpoint: dict[int, Crash] = field(default_factory=dict)
     served_at: float = -math.inf
@@ -70,23 +71,23 @@
 
     @property
     def trusted(self) -> bool:
-        """Return whether the content was answered whole not long before the first known end."""
-        first = min((end.at for end in self.crash_by_endpoint.values()), default=math.inf)
+        """Return whether a complete response shortly preceded the first known crash."""
+        first = min((crash.at for crash in self.crash_by_endpoint.values()), default=math.inf)
         return first - self.served_at < TRUSTED_SECONDS
 
     @property
     def always_soon(self) -> bool:
-        """Return whether each end came soon after the content was sent there, as a cause's do."""
-        return all(end.soon for end in self.crash_by_endpoint.values())
+        """Return whether every crash came soon after the content was sent to the endpoint."""
+        return all(crash.soon for crash in self.crash_by_endpoint.values())
 
     @property
     def required_weight(self) -> int:
-        """Return the weight of ends from which on the content is taken for their cause."""
+        """Return the weight from which on the content is considered the cause."""
         return _TRUSTED_REQUIRED_WEIGHT if self.trusted else _REQUIRED_WEIGHT
 
     @property
     def proven_at(self) -> float:
-        """Return when the ends weighed enough, or infinity."""
+        """Return when the crashes reached the required weight, or infinity."""
         weight = 0
         for endpoint in sorted(self.weight_by_endpoint, key=self._crashed_at):
             weight += self.weight_by_endpoint[endpoint]
@@ -95,11 +96,11 @@
         return math.inf
 
     def weight(self, endpoints: Iterable[int]) -> int:
-        """Return how much the ends of these endpoints speak against the content."""
+        """Return the total weight of the crashes of the given endpoints."""
         return sum(self.weight_by_endpoint.get(endpoint, 0) for endpoint in endpoints)
 
     def remove_crash(self, endpoint: int) -> None:
-        """Drop an end."""
+        """Remove the crash of an endpoint."""
         del self.crash_by_endpoint[endpoint]
         self.weight_by_endpoint.pop(endpoint, None)
 
@@ -107,94 +108,101 @@
         return self.crash_by_endpoint[endpoint].at
 
 
-def attribute_crashes(case_by_content: Mapping[str, CrashEvidence]) -> None:
-    """Weigh all ends anew and charge them."""
-    _assign_weights(case_by_content.values())
-    rivals: Counter[int] = Counter()
-    left: dict[str, set[int]] = {}
-    for content, case in case_by_content.items():
-        case.blamed = False
-        weight = sum(case.weight_by_endpoint.values())
+def attribute_crashes(evidence_by_content: Mapping[str, CrashEvidence]) -> None:
+    """Recompute the weights of all crashes and set ``blamed`` on the contents that cause them."""
+    _assign_weights(evidence_by_content.values())
+    suspects_by_endpoint: Counter[int] = Counter()
+    unexplained: dict[str, set[int]] = {}
+    for content, evidence in evidence_by_content.items():
+        evidence.blamed = False
+        weight = sum(evidence.weight_by_endpoint.values())
         if weight >= SUSPECT_WEIGHT:
-            rivals.update(case.weight_by_endpoint.keys())
-        if weight >= case.required_weight:
-            left[content] = set(case.weight_by_endpoint)
-    while left:
-        clear = _select_causes(case_by_content, left, rivals)
-        if not clear:
+            suspects_by_endpoint.update(evidence.weight_by_endpoint.keys())
+        if weight >= evidence.required_weight:
+            unexplained[content] = set(evidence.weight_by_endpoint)
+    while unexplained:
+        causes = _select_causes(evidence_by_content, unexplained, suspects_by_endpoint)
+        if not causes:
             return
         explained: set[int] = set()
-        for content in clear:
-            case_by_content[content].blamed = True
-            explained |= left.pop(content)
-        left = {
-            content: ends - explained
-            for content, ends in left.items()
-            if case_by_content[content].weight(ends - explained)
-            >= case_by_content[content].required_weight
+        for content in causes:
+            evidence_by_content[content].blamed = True
+            explained |= unexplained.pop(content)
+        unexplained = {
+            content: endpoints - explained
+            for content, endpoints in unexplained.items()
+            if evidence_by_content[content].weight(endpoints - explained)
+            >= evidence_by_content[content].required_weight
         }
 
 
 def _select_causes(
-    case_by_content: Mapping[str, CrashEvidence], left: Mapping[str, set[int]], rivals: Counter[int]
+    evidence_by_content: Mapping[str, CrashEvidence],
+    unexplained: Mapping[str, set[int]],
+    suspects_by_endpoint: Counter[int],
 ) -> list[str]:
-    """Return the foremost contents, without those that each other's ends may explain."""
-    weights = {content: case_by_content[content].weight(ends) for content, ends in left.items()}
-    most = max(weights.values())
-    foremost = [content for content, weight in weights.items() if weight == most]
-    if most >= _BLAME_ALL_WEIGHT:
-        return foremost
+    """Return the contents of highest weight, without those that cannot be told apart."""
+    weights = {
+        content: evidence_by_content[content].weight(endpoints)
+        for content, endpoints in unexplained.items()
+    }
+    highest = max(weights.values())
+    candidates = [content for content, weight in weights.items() if weight == highest]
+    if highest >= _BLAME_ALL_WEIGHT:
+        return candidates
     contested: Counter[int] = Counter()
-    for content in foremost:
-        contested.update(left[content])
-    clear = []
-    for content in foremost:
-        if all(contested[endpoint] == 1 for endpoint in left[content]):
-            clear.append(content)
+    for content in candidates:
+        contested.update(unexplained[content])
+    causes = []
+    for content in candidates:
+        if all(contested[endpoint] == 1 for endpoint in unexplained[content]):
+            causes.append(content)
             continue
-        # At two ends it was the only suspect one: the shared ends are the work of either.
-        own = [endpoint for endpoint in left[content] if rivals[endpoint] == 1]
-        if case_by_content[content].weight(own) >= SUSPECT_WEIGHT:
-            clear.append(content)
-    return clear
-
-
-def _assign_weights(cases: Iterable[CrashEvidence]) -> None:
-    """Say how much each end speaks against each content; most do not in a failure of many."""
-    cases = list(cases)
-    together = _simultaneous_counts(cases)
-    for case in cases:
-        case.weight_by_endpoint = {}
-        if len(case.crash_by_endpoint) * _FULL_WEIGHT < SUSPECT_WEIGHT:
+        # Enough of its crashes involve no other suspect; either may have caused the shared ones.
+        own = [endpoint for endpoint in unexplained[content] if suspects_by_endpoint[endpoint] == 1]
+        if evidence_by_content[content].weight(own) >= SUSPECT_WEIGHT:
+            causes.append(content)
+    return causes
+
+
+def _assign_weights(evidence_list: Iterable[CrashEvidence]) -> None:
+    """Set the weight of each crash for each content; most mass failures add none."""
+    evidence_list = list(evidence_list)
+    crash_time_and_count = _simultaneous_counts(evidence_list)
+    for evidence in evidence_list:
+        evidence.weight_by_endpoint = {}
+        if len(evidence.crash_by_endpoint) * _FULL_WEIGHT < SUSPECT_WEIGHT:
             continue
-        trusted, always_soon = case.trusted, case.always_soon
-        own = sorted(together[endpoint][0] for endpoint in case.crash_by_endpoint)
-        for endpoint, end in case.crash_by_endpoint.items():
-            at, count = together[endpoint]
+        trusted, always_soon = evidence.trusted, evidence.always_soon
+        own_times = sorted(
+            crash_time_and_count[endpoint][0] for endpoint in evidence.crash_by_endpoint
+        )
+        for endpoint, crash in evidence.crash_by_endpoint.items():
+            at, count = crash_time_and_count[endpoint]
             if trusted and count >= _MASS_FAILURE_COUNT:
                 continue
-            share = count if count == 1 or always_soon else _count_near(own, at)
+            share = count if count == 1 or always_soon else _count_near(own_times, at)
             if count >= _MASS_FAILURE_COUNT and 2 * share < count:
                 continue
-            # At one of a pair: it may be the work of another content as well.
-            full = end.lived and (share == count or count >= _MASS_FAILURE_COUNT)
-            case.weight_by_endpoint[endpoint] = _FULL_WEIGHT if full else _HALF_WEIGHT
+            # In flight at one of two simultaneous crashes: another content may be the cause.
+            full = crash.lived and (share == count or count >= _MASS_FAILURE_COUNT)
+            evidence.weight_by_endpoint[endpoint] = _FULL_WEIGHT if full else _HALF_WEIGHT
 
 
-def _simultaneous_counts(cases: Iterable[CrashEvidence]) -> dict[int, tuple[float, int]]:
-    """Return by endpoint when it ended, and how many ended in that moment."""
-    ended_at: dict[int, float] = {}
-    for case in cases:
-        for endpoint, end in case.crash_by_endpoint.items():
-            known = ended_at.get(endpoint)
-            if known is None or end.at < known:
-                ended_at[endpoint] = end.at
-    times = sorted(ended_at.values())
-    return {endpoint: (at, _count_near(times, at)) for endpoint, at in ended_at.items()}
+def _simultaneous_counts(evidence_list: Iterable[CrashEvidence]) -> dict[int, tuple[float, int]]:
+    """Return for each endpoint the crash time and the number of simultaneous crashes."""
+    crashed_at: dict[int, float] = {}
+    for evidence in evidence_list:
+        for endpoint, crash in evidence.crash_by_endpoint.items():
+            known = crashed_at.get(endpoint)
+            if known is None or crash.at < known:
+                crashed_at[endpoint] = crash.at
+    times = sorted(crashed_at.values())
+    return {endpoint: (at, _count_near(times, at)) for endpoint, at in crashed_at.items()}
 
 
 def _count_near(times: list[float], time: float) -> int:
-    """Return how many sorted times lie in the moment around one."""
+    """Return how many of the sorted times are simultaneous with the given time."""
     return bisect_right(times, time + _SIMULTANEOUS_SECONDS) - bisect_left(
         times, time - _SIMULTANEOUS_SECONDS
     )
