--- a/features/steps/guard_steps.py
+++ b/features/steps/guard_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the guards that keep requests which end endpoints away from them."""
+"""Steps for the guards that quarantine requests which crash endpoints."""
 
 import logging
 import re
@@ -20,7 +20,7 @@
 from features.steps.quarantine_steps import content
 
 
-@given("a daemon before {count:d} endpoints of which the first {busy:d} have streams")
+@given("a daemon with {count:d} endpoints of which the first {busy:d} have streams")
 def step_guard(context, count, busy):
     context.loop = SimulatedLoop()
     table = LoadTable()
@@ -62,14 +62,14 @@
     context.loop.advance(seconds)
 
 
-@given("a guard of a daemon whose engines keep their names")
+@given("the content guard of a daemon whose engines keep their names")
 def step_named_guard(context):
     context.clock = ManualClock()
     context.named = ContentGuard(context.clock)
 
 
-@when("requests with one content find {engine} ended, {times:d} times {seconds:g} seconds apart")
-def step_found_ended(context, engine, times, seconds):
+@when("requests with one content find {engine} crashed, {times:d} times {seconds:g} seconds apart")
+def step_found_crashed(context, engine, times, seconds):
     for _ in range(times):
         context.named.ended(content("a"), engine)
         context.clock.advance(seconds)
@@ -80,8 +80,8 @@
     context.named.check(content("a"))
 
 
-@when("{engine} answers and ends under the content, {times:d} times")
-def step_answers_and_ends(context, engine, times):
+@when("{engine} responds and then crashes under the content, {times:d} times")
+def step_responds_and_crashes(context, engine, times):
     for _ in range(times):
         context.clock.advance(3.0)
         context.named.answered(engine)
@@ -89,7 +89,7 @@
     context.clock.advance(1.0)
 
 
-@then("the content is refused with the time that is left")
+@then("the content is refused with its remaining quarantine time")
 def step_content_refused(context):
     try:
         context.named.check(content("a"))
@@ -99,28 +99,28 @@
     raise AssertionError("the content was not refused")
 
 
-class FirstOfFleet:
-    """Take what a guard submits to the store, as the first daemon of the fleet."""
+class RecordingStore:
+    """A store that records what a guard submits."""
 
     def __init__(self):
         self.records = []
         self.listed = []
 
     def quarantines(self):
-        """Return what is kept."""
+        """Return the stored records."""
         return self.listed
 
     def keep_quarantine(self, record):
-        """Note a record."""
+        """Record a submitted record."""
         self.records.append(record)
 
 
-@given("a guard of a daemon with a store")
+@given("the crash guard of a daemon with a store")
 def step_guard_with_store(context):
     start_guard(context, first=True)
 
 
-@given("a guard of a daemon with a store, which is not the first of the fleet")
+@given("the crash guard of a daemon with a store, which is not the first of the fleet")
 def step_guard_not_first(context):
     start_guard(context, first=False)
 
@@ -129,56 +129,56 @@
     context.loop = SimulatedLoop()
     context.loop.clock = ManualClock()
     context.guard = CrashGuard(context.loop, LoadTable())
-    context.kept = FirstOfFleet()
+    context.store = RecordingStore()
 
     def submit(work, done):
         future = Future()
         future.set_result(work())
         context.loop.call_later(0.001, lambda: done(future))
 
-    context.guard.start(context.kept, submit, lambda: first)
+    context.guard.start(context.store, submit, lambda: first)
 
 
-def end_endpoint(context, number, letters, in_passing=""):
+def crash_endpoint(context, number, letters, sent_at_crash=""):
     witnesses = [Witness("r", content(letter), False, True) for letter in letters]
-    witnesses += [Witness("r", content(letter), False, False) for letter in in_passing]
+    witnesses += [Witness("r", content(letter), False, False) for letter in sent_at_crash]
     context.guard.endpoint_ended(engine_entry(number), witnesses)
     context.loop.advance(0.06)
 
 
-@when("endpoints {numbers} end under content {letter:w}")
-def step_ends_under(context, numbers, letter):
+@when("endpoints {numbers} crash with content {letter:w} in flight")
+def step_crash_under(context, numbers, letter):
     for number in re.findall(r"\d+", numbers):
-        end_endpoint(context, int(number), letter)
+        crash_endpoint(context, int(number), letter)
 
 
-@when("endpoint {number:d} ends under contents {letters}")
-def step_endpoint_ends(context, number, letters):
-    beside, _, passing = letters.partition(", and ")
-    end_endpoint(context, number, re.findall(r"\b[ab]\b", beside), passing[:1])
+@when("endpoint {number:d} crashes while it runs contents {letters}")
+def step_endpoint_crashes(context, number, letters):
+    in_flight, _, sent = letters.partition(", and ")
+    crash_endpoint(context, number, re.findall(r"\b[ab]\b", in_flight), sent[:1])
 
 
-@when("{count:d} endpoints end one after the other, and content a was sent there in that moment")
-def step_ends_in_passing(context, count):
+@when("{count:d} endpoints crash one after another, and content a was sent there at that moment")
+def step_crash_when_sent(context, count):
     for number in range(1, count + 1):
-        end_endpoint(context, number, "", "a")
+        crash_endpoint(context, number, "", "a")
 
 
-@when("it hears that content a was at ends 1, 2 and 3")
-def step_guard_hears(context):
+@when("it receives a report that content a was in flight at crashes 1, 2 and 3")
+def step_guard_receives(context):
     context.guard.hear(
         (CrashReport(content("a"), tuple(ObservedCrash(n, 0.0) for n in (1, 2, 3))),)
     )
 
 
-@when("it hears that endpoint {number:d} ended soon after content a was sent there")
-def step_guard_hears_soon(context, number):
-    end = ObservedCrash(endpoint_key(engine_entry(number).id), 0.0, soon=True)
-    context.guard.hear((CrashReport(content("a"), (end,)),))
+@when("it receives a report that endpoint {number:d} crashed soon after content a was sent there")
+def step_guard_receives_soon(context, number):
+    crash = ObservedCrash(endpoint_key(engine_entry(number).id), 0.0, soon=True)
+    context.guard.hear((CrashReport(content("a"), (crash,)),))
 
 
-@then("a request with content a that was sent to endpoint {number:d} may be sent again at once")
-def step_sent_again(context, number):
+@then("a request with content a that was sent to endpoint {number:d} may be retried at once")
+def step_retried(context, number):
     tried = {engine_entry(number).id}
     assert context.guard.standing(content("a"), tried) is ContentStatus.SOUND
     assert context.guard.settles_in(content("a"), tried) == 0
@@ -193,16 +193,16 @@
     assert context.guard.standing(content("a"), tried) is ContentStatus.SOUND
 
 
-@when("the first request with content {letter:w} is refused there")
+@when("the first request with content {letter:w} is refused")
 def step_first_refused(context, letter):
     while context.guard.standing(content(letter)) is not ContentStatus.QUARANTINED:
         assert context.guard.settles_in(content(letter)) > 0
         context.loop.advance(context.guard.settles_in(content(letter)))
 
 
-@then("the store is told of content {letter:w}")
-def step_store_told(context, letter):
-    assert [record.key for record in context.kept.records] == [content(letter)]
+@then("the store receives the record of content {letter:w}")
+def step_record_stored(context, letter):
+    assert [record.key for record in context.store.records] == [content(letter)]
 
 
 @then("a request with content {letter:w} is refused")
@@ -218,22 +218,22 @@
         assert context.guard.standing(content(letter)) is not ContentStatus.QUARANTINED
 
 
-class KeptMessages(logging.Handler):
-    """Keep what is logged."""
+class RecordedMessages(logging.Handler):
+    """A log handler that records messages."""
 
     def __init__(self):
         super().__init__()
         self.messages = []
 
     def emit(self, record):
-        """Keep one message."""
+        """Record one message."""
         self.messages.append(record.getMessage())
 
 
 @given("the store holds the empty record of a released content")
 def step_released_record(context):
-    context.kept.listed = [SharedRecord(content("a"), b"")]
-    context.logged = KeptMessages()
+    context.store.listed = [SharedRecord(content("a"), b"")]
+    context.logged = RecordedMessages()
     logger = logging.getLogger("brassdrum.gateway.guards.crash_guard")
     logger.addHandler(context.logged)
     logger.setLevel(logging.INFO)
@@ -242,7 +242,7 @@
     context.stack.push(lambda: logger.removeHandler(context.logged))
 
 
-@then("no record is called damaged")
+@then("no record is logged as damaged")
 def step_none_damaged(context):
     assert QUARANTINE_NOT_KEPT.name not in context.logged.messages, context.logged.messages
     assert context.guard.quarantined == 0
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the decisions about requests that end endpoints."""
+"""Steps for quarantine decisions about requests that crash endpoints."""
 
 import random
 import re
@@ -18,11 +18,11 @@
 from brassdrum.outcomes.quarantine import ContentStatus, CrashReport, ObservedCrash, Quarantine
 
 CONTENTS = st.sampled_from([f"{number:016x}" for number in range(6)])
-ENDS = st.lists(st.tuples(CONTENTS, st.integers(1, 8)), max_size=30)
+CRASHES = st.lists(st.tuples(CONTENTS, st.integers(1, 8)), max_size=30)
 
 
 class Daemon:
-    """Hold what one daemon knows and what time it is there."""
+    """A daemon with its quarantine state."""
 
     def __init__(self):
         self.quarantine = Quarantine()
@@ -39,32 +39,34 @@
     return context.daemon
 
 
-def standing(context, letter, where=None, own_ends=()):
-    decision = (where or daemon(context)).quarantine
-    return decision.status(content(letter), context.now, own_ends)
+def status_of(context, letter, where=None, own_crashes=()):
+    quarantine = (where or daemon(context)).quarantine
+    return quarantine.status(content(letter), context.now, own_crashes)
 
 
-@given("content {letter} was at ends {numbers}")
-@when("content {letter} was at ends {numbers}")
+@given("content {letter} was in flight at crashes {numbers}")
+@when("content {letter} was in flight at crashes {numbers}")
 def step_was_at(context, letter, numbers):
     quarantine = daemon(context).quarantine
     for number in re.findall(r"\d+", numbers):
         quarantine.record_crash(content(letter), int(number), context.now)
 
 
-@given("content {letter} was at end {number:d} soon after it was sent")
+@given("content {letter} was in flight at crash {number:d} soon after it was sent")
 def step_was_at_soon(context, letter, number):
     daemon(context).quarantine.record_crash(content(letter), number, context.now, soon=True)
 
 
-@given("content {letter} was answered whole before any end")
-def step_served_before(context, letter):
+@given("content {letter} had a complete response before any crash")
+def step_complete_before(context, letter):
     daemon(context).quarantine.record_served(content(letter), context.now)
     context.now += 0.2
 
 
-@given("{count:d} endpoints ended in one moment {times:d} times, each time one under content a")
-def step_in_one_moment(context, count, times):
+@given(
+    "{count:d} endpoints crashed at once {times:d} times, each time one with content a in flight"
+)
+def step_simultaneous(context, count, times):
     quarantine = daemon(context).quarantine
     for moment in range(times):
         context.now += 1.5
@@ -74,9 +76,9 @@
             quarantine.record_crash(name, 100 * moment + other, context.now + 0.002 * other)
 
 
-@given("another daemon heard all")
-@when("the other daemon hears all")
-def step_other_hears(context):
+@given("another daemon received all reports")
+@when("the other daemon receives all reports")
+def step_other_receives(context):
     if not hasattr(context, "other"):
         context.other = Daemon()
     context.other.quarantine.merge_reports(
@@ -84,15 +86,15 @@
     )
 
 
-@when("this daemon hears the other")
-def step_this_hears(context):
+@when("this daemon receives the reports of the other")
+def step_this_receives(context):
     context.daemon.quarantine.merge_reports(
         context.other.quarantine.reports(context.now), context.now
     )
 
 
-@when("content {letter} is answered whole")
-def step_served(context, letter):
+@when("content {letter} gets a complete response")
+def step_complete(context, letter):
     context.now += 0.2
     assert daemon(context).quarantine.record_served(content(letter), context.now)
 
@@ -105,164 +107,168 @@
 
 
 @then("content {letter} is {name:w}")
-def step_standing(context, letter, name):
-    found = standing(context, letter)
+def step_status(context, letter, name):
+    found = status_of(context, letter)
     assert found is ContentStatus[name.upper()], found
 
 
 @then("content {letter} is {name:w} there")
-def step_standing_there(context, letter, name):
-    found = standing(context, letter, context.other)
+def step_status_there(context, letter, name):
+    found = status_of(context, letter, context.other)
     assert found is ContentStatus[name.upper()], found
 
 
-@then("content {letter} is {name:w} for the request that was at end {number:d}")
-def step_standing_of_request(context, letter, name, number):
-    found = standing(context, letter, own_ends={number})
+@then("content {letter} is {name:w} for the request that was sent to endpoint {number:d}")
+def step_status_of_request(context, letter, name, number):
+    found = status_of(context, letter, own_crashes={number})
     assert found is ContentStatus[name.upper()], found
 
 
-@then("content {letter} is {name:w} there for the request that was at end {number:d}")
-def step_standing_of_request_there(context, letter, name, number):
-    found = standing(context, letter, context.other, own_ends={number})
+@then("content {letter} is {name:w} there for the request that was sent to endpoint {number:d}")
+def step_status_of_request_there(context, letter, name, number):
+    found = status_of(context, letter, context.other, own_crashes={number})
     assert found is ContentStatus[name.upper()], found
 
 
-@then("nothing is known")
-def step_nothing(context):
+@then("no content is tracked")
+def step_none_tracked(context):
     assert daemon(context).quarantine.contents() == []
 
 
-@when("{count:d} other contents were at one end each")
+@when("{count:d} other contents were in flight at one crash each")
 def step_flood(context, count):
     for number in range(count):
         name = f"{number + 1000:016x}"
         context.daemon.quarantine.record_crash(name, number % 300 + 50, context.now)
 
 
-@then("at most {count:d} contents are known")
-def step_bound(context, count):
+@then("at most {count:d} contents are tracked")
+def step_tracked_limit(context, count):
     assert len(context.daemon.quarantine.contents()) <= count
 
 
-@then("at most {count:d} are told, content {letter} first")
-def step_told(context, count, letter):
-    words = context.daemon.quarantine.reports(context.now)
-    assert len(words) <= count
-    assert words[0].content == content(letter)
+@then("at most {count:d} are reported, content {letter} first")
+def step_reported(context, count, letter):
+    reports = context.daemon.quarantine.reports(context.now)
+    assert len(reports) <= count
+    assert reports[0].content == content(letter)
 
 
 @when(
-    "two daemons tell each other every {pause:g} seconds with {way:g} on the way "
+    "two daemons exchange reports every {pause:g} seconds with {delay:g} seconds of delay "
     "for {seconds:g} seconds"
 )
-def step_to_and_fro(context, pause, way, seconds):
+def step_exchange(context, pause, delay, seconds):
     context.other = Daemon()
     pair = [context.daemon, context.other]
     for number in range(round(seconds / pause)):
-        teller, hearer = pair[number % 2], pair[1 - number % 2]
-        words = passed(teller.quarantine.reports(context.now))
-        context.now += way
-        hearer.quarantine.merge_reports(words, context.now)
-        context.now += pause - way
+        sender, receiver = pair[number % 2], pair[1 - number % 2]
+        reports = encode_and_decode(sender.quarantine.reports(context.now))
+        context.now += delay
+        receiver.quarantine.merge_reports(reports, context.now)
+        context.now += pause - delay
 
 
-def passed(words):
-    """Return words as they come out of a datagram."""
-    belief = PeerBelief(1, "d", 0.0, 1, endings=tuple(words))
+def encode_and_decode(reports):
+    """Return reports after encoding and decoding a datagram."""
+    belief = PeerBelief(1, "d", 0.0, 1, endings=tuple(reports))
     sender = Sender("daemon-1", DaemonAddress("10.0.0.1", "zone-a"), 1, 1)
     return decode_message(encode_message(Report(sender, belief))).belief.endings
 
 
-@then("any words are the same after encoding, ages to a millisecond")
-def step_wire(context):
+@then("any reports are equal after encoding and decoding, ages to a millisecond")
+def step_encoding(context):
     ages = st.floats(0, 1200)
-    end = st.builds(ObservedCrash, st.integers(0, 2**32 - 1), ages, st.booleans(), st.booleans())
-    ends = st.lists(end, max_size=12).map(tuple)
-    words = st.lists(
-        st.builds(CrashReport, CONTENTS, ends, st.none() | st.floats(0, 1200)), max_size=24
+    crash = st.builds(ObservedCrash, st.integers(0, 2**32 - 1), ages, st.booleans(), st.booleans())
+    crashes = st.lists(crash, max_size=12).map(tuple)
+    reports = st.lists(
+        st.builds(CrashReport, CONTENTS, crashes, st.none() | st.floats(0, 1200)), max_size=24
     )
 
-    @any_of(words)
-    def check(told):
-        heard = passed(told)
-        assert len(heard) == len(told)
-        for sent, got in zip(told, heard, strict=True):
-            assert got.content == sent.content
-            assert [end.endpoint for end in got.crashes] == [end.endpoint for end in sent.crashes]
-            for mine, theirs in zip(sent.crashes, got.crashes, strict=True):
-                assert abs(mine.age - theirs.age) <= 0.000501
-                assert (mine.soon, mine.lived) == (theirs.soon, theirs.lived)
-            assert (got.served_age is None) == (sent.served_age is None)
+    @any_of(reports)
+    def check(sent_reports):
+        received_reports = encode_and_decode(sent_reports)
+        assert len(received_reports) == len(sent_reports)
+        for sent, received in zip(sent_reports, received_reports, strict=True):
+            assert received.content == sent.content
+            assert [crash.endpoint for crash in received.crashes] == [
+                crash.endpoint for crash in sent.crashes
+            ]
+            for expected, actual in zip(sent.crashes, received.crashes, strict=True):
+                assert abs(expected.age - actual.age) <= 0.000501
+                assert (expected.soon, expected.lived) == (actual.soon, actual.lived)
+            assert (received.served_age is None) == (sent.served_age is None)
 
     check()
 
 
-@then("any ends heard in any order, doubled and late, give the same decisions")
+@then("any crash reports in any order, duplicated and delayed, give the same decisions")
 def step_any_order(context):
-    @any_of(ENDS, st.randoms(use_true_random=False))
-    def check(ends, rng):
-        words = [CrashReport(name, (ObservedCrash(number, 1.0),)) for name, number in ends]
+    @any_of(CRASHES, st.randoms(use_true_random=False))
+    def check(crashes, rng):
+        reports = [CrashReport(name, (ObservedCrash(number, 1.0),)) for name, number in crashes]
         first, second = Quarantine(), Quarantine()
-        first.merge_reports(words, 100.0)
-        for word in rng.sample(words + words, 2 * len(words)):
-            second.merge_reports((word,), 100.0)
-        names = {name for name, _ in ends}
+        first.merge_reports(reports, 100.0)
+        for report in rng.sample(reports + reports, 2 * len(reports)):
+            second.merge_reports((report,), 100.0)
+        names = {name for name, _ in crashes}
         for name in names:
-            assert first.status(name, 100.5) is second.status(name, 100.5), (name, ends)
+            assert first.status(name, 100.5) is second.status(name, 100.5), (name, crashes)
 
     check()
 
 
-@then("in any series of ends caused by at most two contents no other one is quarantined")
-def step_healthy(context):
+@then("in any series of crashes caused by at most two contents no other one is quarantined")
+def step_only_causes_quarantined(context):
     @any_of(st.integers(0, 2**32), st.integers(1, 2))
     def check(seed, causes):
         rng = random.Random(seed)
         quarantine = Quarantine()
         now = 100.0
         incarnation = 0
-        ending = [f"{number:016x}" for number in range(causes)]
+        crashing = [f"{number:016x}" for number in range(causes)]
         healthy = [f"{number + 100:016x}" for number in range(40)]
         for _ in range(60):
             now += rng.uniform(0.2, 0.8)
-            cause = rng.choice(ending)
+            cause = rng.choice(crashing)
             if quarantine.status(cause, now) is ContentStatus.QUARANTINED:
                 continue
             incarnation += 1
-            # Each healthy stream is sent again at most once, by its caller once more.
+            # A healthy stream is retried at most twice: by the daemon and by its caller.
             beside = rng.sample(healthy, 5)
             for name in {cause, *beside}:
                 quarantine.record_crash(name, incarnation, now)
             for name in beside:
                 if rng.random() < 0.5:
                     quarantine.record_served(name, now + 0.1)
-        assert not {*quarantine.quarantined(now + 1)} - {*ending}
+        assert not {*quarantine.quarantined(now + 1)} - {*crashing}
 
     check()
 
 
-@then("in any series of ends of 3 and more endpoints at once no content is quarantined")
-def step_waves(context):
+@then("in any series of simultaneous crashes of 3 and more endpoints no content is quarantined")
+def step_mass_failures(context):
     @any_of(st.integers(0, 2**32), st.integers(3, 13), st.floats(0.1, 3.0))
     def check(seed, endpoints, pause):
         rng = random.Random(seed)
         quarantine = Quarantine()
         now = 100.0
         healthy = [f"{number + 100:016x}" for number in range(40)]
-        for wave in range(8):
+        for failure in range(8):
             now += pause
             streams = rng.sample(healthy, 3 * endpoints)
             for number in range(endpoints):
                 for name in streams[3 * number : 3 * number + 3]:
-                    quarantine.record_crash(name, 100 * wave + number, now + rng.uniform(0.0, 0.02))
+                    quarantine.record_crash(
+                        name, 100 * failure + number, now + rng.uniform(0.0, 0.02)
+                    )
         assert not quarantine.quarantined(now + 1)
 
     check()
 
 
-@given("content {letter:w} is answered whole all the time")
-def step_answered(context, letter):
+@given("content {letter:w} gets complete responses all the time")
+def step_completes_regularly(context, letter):
     quarantine = daemon(context).quarantine
     for _ in range(20):
         context.now += 0.1
@@ -270,14 +276,14 @@
     context.now += 0.1
 
 
-@when("each {pause:g} s an endpoint ends under content {letter:w}, {times:d} times")
-def step_ends_apart(context, pause, letter, times):
+@when("every {pause:g} s an endpoint crashes with content {letter:w} in flight, {times:d} times")
+def step_crashes_apart(context, pause, letter, times):
     for number in range(times):
         context.now += pause
         context.daemon.quarantine.record_crash(content(letter), number, context.now)
 
 
-@given("content {letter:w} is at {share:d} of {count:d} endpoints that end in one moment")
+@given("content {letter:w} is in flight at {share:d} of {count:d} endpoints that crash at once")
 def step_rack(context, letter, share, count):
     for number in range(count):
         at = context.now + 0.001 * number
