--- a/src/brassdrum/bench/endings.py
+++ b/src/brassdrum/bench/endings.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from brassdrum.bench.load.loop import SimulatedLoop
-from brassdrum.outcomes.crash_attribution import SOON_SECONDS
+from brassdrum.outcomes.charging import SOON_SECONDS
 from brassdrum.outcomes.quarantine import ContentStatus, Quarantine
 
 __all__ = [
--- a/src/brassdrum/daemon/content_guard.py
+++ b/src/brassdrum/daemon/content_guard.py
@@ -11,7 +11,7 @@
 from brassdrum.clock import Clock
 from brassdrum.errors import ContentQuarantinedError
 from brassdrum.membership.peer_pb2 import DaemonEntry, EndedContent, SeenEndpointEnd
-from brassdrum.outcomes.crash_attribution import SOON_SECONDS
+from brassdrum.outcomes.charging import SOON_SECONDS
 from brassdrum.outcomes.quarantine import ContentStatus, CrashReport, ObservedCrash, Quarantine
 
 __all__ = ["ContentGuard"]
--- a/src/brassdrum/gateway/guards/endings.py
+++ b/src/brassdrum/gateway/guards/endings.py
@@ -10,7 +10,7 @@
 from brassdrum.gateway.model import EndpointEntry
 from brassdrum.gateway.net.loop import EventLoop, Timer
 from brassdrum.gateway.net.transport import Transport
-from brassdrum.outcomes.crash_attribution import SOON_SECONDS
+from brassdrum.outcomes.charging import SOON_SECONDS
 
 __all__ = ["EndingChecks", "LostRequest", "Witness"]
 
--- a/src/brassdrum/outcomes/quarantine.py
+++ b/src/brassdrum/outcomes/quarantine.py
@@ -1,6 +1,6 @@
 """Detect and quarantine requests that crash the endpoints that run them.
 
-The crashes at which each content was in flight are merged from all daemons; ``crash_attribution``
+The crashes at which each content was in flight are merged from all daemons; ``charging``
 decides which contents caused them. This module limits the data that is kept, exchanges it with
 other daemons and decides how a request is treated. It does no I/O; times are arguments.
 """
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from brassdrum.outcomes.crash_attribution import (
+from brassdrum.outcomes.charging import (
     REQUIRED_CRASHES,
     SOON_SECONDS,
     SUSPECT_WEIGHT,
