--- a/src/brassdrum/outcomes/appender.py
+++ b/src/brassdrum/outcomes/appender.py
@@ -115,7 +115,7 @@
 
 
 def _pop_up_to(queue: deque[_Pending], limit: int) -> list[_Pending]:
-    popped = []
-    while queue and len(popped) < limit:
-        popped.append(queue.popleft())
-    return popped
+    taken = []
+    while queue and len(taken) < limit:
+        taken.append(queue.popleft())
+    return taken
