--- a/src/brassdrum/gateway/peering/peer_messages.py
+++ b/src/brassdrum/gateway/peering/peer_messages.py
@@ -10,7 +10,7 @@
 from brassdrum.gateway.model import DaemonAddress
 from brassdrum.gateway.peering.wire import FieldReader, FieldWriter
 from brassdrum.gateway.placing.load import LoadRow
-from brassdrum.outcomes.quarantine import EndingWord, SeenEnd
+from brassdrum.outcomes.quarantine import CrashReport, ObservedCrash
 
 __all__ = [
     "Acknowledgement",
@@ -70,7 +70,7 @@
     failing: tuple[FailingWord, ...] = ()
     draining: tuple[DrainNotice, ...] = ()
     recent_failures: tuple[str, ...] = ()
-    endings: tuple[EndingWord, ...] = ()
+    endings: tuple[CrashReport, ...] = ()
     era: int | None = None
 
 
@@ -308,7 +308,7 @@
         _write_ending(writer, ending)
 
 
-def _write_ending(writer: FieldWriter, ending: EndingWord) -> None:
+def _write_ending(writer: FieldWriter, ending: CrashReport) -> None:
     """Append the endpoint crashes attributed to one request content."""
     writer.uint(int(ending.content, 16), _CONTENT_BYTES)
     served_age_ms = (
@@ -317,10 +317,10 @@
         else min(_NEVER_SERVED - 1, _age_ms(ending.served_age))
     )
     writer.uint(served_age_ms, _AGE_BYTES)
-    writer.uint(len(ending.ends), 1)
-    writer.uint(_bitmask(end.soon for end in ending.ends), _BITMASK_BYTES)
-    writer.uint(_bitmask(end.lived for end in ending.ends), _BITMASK_BYTES)
-    for end in ending.ends:
+    writer.uint(len(ending.crashes), 1)
+    writer.uint(_bitmask(end.soon for end in ending.crashes), _BITMASK_BYTES)
+    writer.uint(_bitmask(end.lived for end in ending.crashes), _BITMASK_BYTES)
+    for end in ending.crashes:
         writer.uint(end.endpoint, 4)
         writer.uint(_age_ms(end.age), _AGE_BYTES)
 
@@ -333,13 +333,13 @@
     return max(0, round(age * 1000))
 
 
-def _read_ending(reader: FieldReader) -> EndingWord:
+def _read_ending(reader: FieldReader) -> CrashReport:
     content = f"{reader.uint(_CONTENT_BYTES):0{2 * _CONTENT_BYTES}x}"
     served_age_ms = reader.uint(_AGE_BYTES)
     count = reader.uint(1)
     soon, lived = reader.uint(_BITMASK_BYTES), reader.uint(_BITMASK_BYTES)
     ends = tuple(
-        SeenEnd(
+        ObservedCrash(
             reader.uint(4),
             reader.uint(_AGE_BYTES) / 1000,
             bool(soon >> bit & 1),
@@ -347,7 +347,7 @@
         )
         for bit in range(count)
     )
-    return EndingWord(
+    return CrashReport(
         content, ends, None if served_age_ms == _NEVER_SERVED else served_age_ms / 1000
     )
 
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -28,8 +28,8 @@
     retry_after_header,
 )
 from brassdrum.gateway.request.silence_watch import StallWatchdog
-from brassdrum.outcomes.fingerprint import fingerprint
-from brassdrum.outcomes.quarantine import Standing
+from brassdrum.outcomes.fingerprint import content_fingerprint
+from brassdrum.outcomes.quarantine import ContentStatus
 from brassdrum.telemetry import log_events
 from brassdrum.telemetry.log_events import LogEvent
 
@@ -63,7 +63,7 @@
         organisation: Organisation | None,
         arrived: float,
     ) -> None:
-        self.content_fingerprint = fingerprint(
+        self.content_fingerprint = content_fingerprint(
             "" if organisation is None else organisation.name,
             request.method,
             request.host.encode(),
@@ -230,11 +230,11 @@
         """Place the request and start an attempt; no other attempt may be in flight."""
         self._watchdog.stop()
         standing = self._context.guard.standing(self.content_fingerprint, self.tried_endpoints)
-        if standing is Standing.QUARANTINED:
+        if standing is ContentStatus.QUARANTINED:
             self._stop_waiting()
             self._refuse_quarantined()
             return
-        if standing is Standing.UNDECIDED:
+        if standing is ContentStatus.UNDECIDED:
             # Reports of other daemons may still decide whether this content crashes endpoints.
             self._postpone(
                 self._context.guard.settles_in(self.content_fingerprint, self.tried_endpoints)
@@ -295,7 +295,7 @@
             self._waiting = self._waiting_for_slot = False
             self._context.wait_queue.remove(self, served=served)
 
-    def _log_placement(self, placement: Placement, standing: Standing) -> None:
+    def _log_placement(self, placement: Placement, standing: ContentStatus) -> None:
         age = self._context.beliefs.list_age()
         self._log_decision(
             log_events.PLACED,
--- a/src/brassdrum/outcomes/appender.py
+++ b/src/brassdrum/outcomes/appender.py
@@ -1,4 +1,4 @@
-"""Write records of one stream in groups, so that many cost one append."""
+"""Batching of appends to one log stream."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 __all__ = ["BatchAppender"]
 
-_URGENT_LINGER = 0.005
-_LAZY_LINGER = 0.25
-_MOST_RECORDS = 500
-_MOST_LAZY = 20_000
-_RETRY_SECONDS = 0.5
-_IDLE_SECONDS = 2.0
+_URGENT_LINGER_SECONDS = 0.005
+_LAZY_LINGER_SECONDS = 0.25
+_MAX_BATCH_RECORDS = 500
+_MAX_LAZY_RECORDS = 20_000
+_RETRY_DELAY_SECONDS = 0.5
+_IDLE_WAIT_SECONDS = 2.0
 
 
 @dataclass(slots=True)
@@ -28,10 +28,11 @@
 
 
 class BatchAppender:
-    """Append urgent records within milliseconds; lazy ones ride along or wait a little.
+    """Append urgent records within milliseconds; lazy ones join a batch or wait for a short time.
 
-    An urgent record whose append fails is given back to its writer, who reads on to learn the
-    truth. Lazy records are appended again until the log answers; a repeated one is harmless.
+    If the append of an urgent record fails, its future raises the error; the writer reads the log
+    to find out whether the record was written. Lazy records are retried until the append succeeds,
+    so they must be idempotent.
     """
 
     def __init__(self, log: Log, stream: str, clock: Clock) -> None:
@@ -40,20 +41,20 @@
         self._clock = clock
         self._changed = threading.Condition()
         self._urgent: deque[_Pending] = deque()
-        self._lazy: deque[_Pending] = deque(maxlen=_MOST_LAZY)
+        self._lazy: deque[_Pending] = deque(maxlen=_MAX_LAZY_RECORDS)
         self._lazy_since: float | None = None
         self.appends = 0
 
-    def urgent(self, value: dict[str, object]) -> Future[int]:
-        """Append soon; the future gives the offset or raises ``PlatformUnavailableError``."""
+    def append_urgent(self, value: dict[str, object]) -> Future[int]:
+        """Append soon; the future returns the offset or raises ``PlatformUnavailableError``."""
         pending = _Pending(value)
         with self._changed:
             self._urgent.append(pending)
             self._changed.notify()
         return pending.future
 
-    def lazy(self, value: dict[str, object]) -> None:
-        """Append when it costs little, and again until the log has it."""
+    def append_lazy(self, value: dict[str, object]) -> None:
+        """Append with a later batch; retry until the log confirms it."""
         with self._changed:
             self._lazy.append(_Pending(value))
             if self._lazy_since is None:
@@ -62,32 +63,32 @@
 
     @property
     def unwritten(self) -> int:
-        """Return how many records wait for the log."""
+        """Return the number of records not yet appended."""
         with self._changed:
             return len(self._urgent) + len(self._lazy)
 
     def step(self) -> None:
-        """Wait for records and append one group."""
+        """Wait for records and append one batch."""
         with self._changed:
-            self._changed.wait_for(lambda: bool(self._urgent or self._lazy), _IDLE_SECONDS)
-            self._changed.wait_for(self._due, _LAZY_LINGER)
-            if not self._due():
+            self._changed.wait_for(lambda: bool(self._urgent or self._lazy), _IDLE_WAIT_SECONDS)
+            self._changed.wait_for(self._batch_due, _LAZY_LINGER_SECONDS)
+            if not self._batch_due():
                 return
-            if self._urgent and len(self._urgent) < _MOST_RECORDS:
-                self._changed.wait(_URGENT_LINGER)
-            urgent = _take(self._urgent, _MOST_RECORDS)
-            lazy = _take(self._lazy, _MOST_RECORDS - len(urgent))
+            if self._urgent and len(self._urgent) < _MAX_BATCH_RECORDS:
+                self._changed.wait(_URGENT_LINGER_SECONDS)
+            urgent = _pop_up_to(self._urgent, _MAX_BATCH_RECORDS)
+            lazy = _pop_up_to(self._lazy, _MAX_BATCH_RECORDS - len(urgent))
             self._lazy_since = self._clock.monotonic() if self._lazy else None
-        self._append(urgent, lazy)
+        self._append_batch(urgent, lazy)
 
-    def _due(self) -> bool:
-        if self._urgent or len(self._lazy) >= _MOST_RECORDS:
+    def _batch_due(self) -> bool:
+        if self._urgent or len(self._lazy) >= _MAX_BATCH_RECORDS:
             return True
         if self._lazy_since is None:
             return False
-        return self._clock.monotonic() - self._lazy_since >= _LAZY_LINGER
+        return self._clock.monotonic() - self._lazy_since >= _LAZY_LINGER_SECONDS
 
-    def _append(self, urgent: list[_Pending], lazy: list[_Pending]) -> None:
+    def _append_batch(self, urgent: list[_Pending], lazy: list[_Pending]) -> None:
         values = [pending.value for pending in [*urgent, *lazy]]
         if not values:
             return
@@ -95,12 +96,12 @@
         try:
             first = self._log.append(self._stream, values)
         except PlatformUnavailableError as error:
-            self._give_back(urgent, lazy, error)
+            self._handle_append_error(urgent, lazy, error)
             return
         for position, pending in enumerate(urgent):
             pending.future.set_result(first + position)
 
-    def _give_back(
+    def _handle_append_error(
         self, urgent: list[_Pending], lazy: list[_Pending], error: PlatformUnavailableError
     ) -> None:
         for pending in urgent:
@@ -110,11 +111,11 @@
         with self._changed:
             self._lazy.extendleft(reversed(lazy))
             self._lazy_since = self._clock.monotonic()
-        self._clock.sleep(_RETRY_SECONDS)
+        self._clock.sleep(_RETRY_DELAY_SECONDS)
 
 
-def _take(queue: deque[_Pending], most: int) -> list[_Pending]:
+def _pop_up_to(queue: deque[_Pending], limit: int) -> list[_Pending]:
     taken = []
-    while queue and len(taken) < most:
+    while queue and len(taken) < limit:
         taken.append(queue.popleft())
     return taken
