--- a/features/steps/endpoint_list_steps.py
+++ b/features/steps/endpoint_list_steps.py
@@ -156,7 +156,7 @@
     (used,) = context.knowledge.usable(SERVICE)
     assert used.name == "engine-1"
     assert not context.beliefs.suspect(used.id)
-    assert context.loads.total(used.id).empty()
+    assert context.loads.total(used.id).is_empty()
     assert not context.knowledge.leaves("engine-1@1", 97.0)
     assert context.knowledge.usable(SERVICE) == [used]
 
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -24,7 +24,7 @@
     decode_message,
     encode_message,
 )
-from brassdrum.gateway.placing.load import EndpointLoad, LoadRow, LoadTable, Share, endpoint_key
+from brassdrum.gateway.placing.load import EndpointLoad, LoadRow, LoadShare, LoadTable, endpoint_key
 from brassdrum.gateway.placing.placement import (
     Candidate,
     Need,
@@ -135,7 +135,7 @@
 
 @then("no part lasts longer than {most:d} ms")
 def step_parts(context, most):
-    assert all(share.reading_ms <= most for share in context.placement.shares)
+    assert all(share.prefill_ms <= most for share in context.placement.shares)
 
 
 @then("nothing is harmed")
@@ -307,7 +307,7 @@
 @when("two peers and this daemon work at an endpoint")
 def step_three(context):
     context.loads_seen = LoadTable()
-    context.loads_seen.start("own", [Share("a", 100.0, 5000, 250)], 0.0, 200.0)
+    context.loads_seen.start("own", [LoadShare("a", 100.0, 5000, 250)], 0.0, 200.0)
     row = LoadRow(endpoint_key("a"), EndpointLoad(50.0, 7000, 7000, 1, 0, {1000: 1}))
     context.loads_seen.merge("peer-1", [row], 0.0, 1)
     context.loads_seen.merge("peer-2", [row], 1.5, 1)
@@ -316,14 +316,14 @@
 @then("its total is the sum of the three")
 def step_sum(context):
     total = context.loads_seen.total("a")
-    assert (total.reading_ms, total.memory, total.calls) == (200.0, 19000, 3)
-    assert total.writers == 3
-    assert total.tightest_pause() == 250
+    assert (total.pending_prefill_ms, total.memory, total.requests) == (200.0, 19000, 3)
+    assert total.streams == 3
+    assert total.shortest_max_pause() == 250
 
 
 @when("one peer falls silent")
 def step_silent_peer(context):
-    context.loads_seen.forget("peer-1")
+    context.loads_seen.drop_publisher("peer-1")
 
 
 @then("its work is dropped")
@@ -333,14 +333,14 @@
 
 @when("this daemon's prompt is read")
 def step_prompt_read(context):
-    context.loads_seen.prompt_read("own")
+    context.loads_seen.prefill_finished("own")
 
 
 @then("nothing is left to read but the peer's part")
 def step_left(context):
-    assert context.loads_seen.total("a").reading_ms == 50.0
+    assert context.loads_seen.total("a").pending_prefill_ms == 50.0
     context.loads_seen.end("own", 0.0)
-    assert context.loads_seen.total("a").calls == 1
+    assert context.loads_seen.total("a").requests == 1
 
 
 @then("each kind of peer message comes back as it was sent")
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -463,7 +463,7 @@
 def step_sees(context, calls):
     table = context.gateways[1].daemon.table
     eventually(
-        lambda: sum(table.total(each.name).calls for each in context.endpoints) == calls,
+        lambda: sum(table.total(each.name).requests for each in context.endpoints) == calls,
         f"{calls} calls are seen",
     )
 
--- a/features/steps/guard_steps.py
+++ b/features/steps/guard_steps.py
@@ -13,7 +13,7 @@
 from brassdrum.gateway.guards.crash_guard import CrashGuard
 from brassdrum.gateway.guards.endings import Witness
 from brassdrum.gateway.model import SharedRecord
-from brassdrum.gateway.placing.load import LoadTable, Share, endpoint_key
+from brassdrum.gateway.placing.load import LoadShare, LoadTable, endpoint_key
 from brassdrum.outcomes.quarantine import EndingWord, SeenEnd, Standing
 from brassdrum.telemetry.log_events import QUARANTINE_NOT_KEPT
 from features.gateway_world import engine_entry
@@ -27,7 +27,7 @@
     context.guard = CrashGuard(context.loop, table)
     context.entries = [engine_entry(number + 1) for number in range(count)]
     for entry in context.entries[:busy]:
-        table.start(entry.id, [Share(entry.id, 10.0, 100, 250)], 0.0, 10.0)
+        table.start(entry.id, [LoadShare(entry.id, 10.0, 100, 250)], 0.0, 10.0)
 
 
 @given("endpoint {number:d} is avoided")
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -69,7 +69,9 @@
     """Forget which prompts an engine has yet to read."""
 
     def policy(need, candidates, engine, rng):
-        blind = [replace(each, load=replace(each.load, part_tokens=0)) for each in candidates]
+        blind = [
+            replace(each, load=replace(each.load, split_prefill_tokens=0)) for each in candidates
+        ]
         return _LEAST_HARM(need, blind, engine, rng)
 
     return Variant(policy)
--- a/features/steps/peer_group_steps.py
+++ b/features/steps/peer_group_steps.py
@@ -16,7 +16,7 @@
 from brassdrum.gateway.peering.peer_messages import PeerBelief
 from brassdrum.gateway.peering.peers import Peers
 from brassdrum.gateway.peering.spreading import branches
-from brassdrum.gateway.placing.load import LoadTable, Share
+from brassdrum.gateway.placing.load import LoadShare, LoadTable
 
 ENGINES = 20
 MEMORY = 6400
@@ -57,7 +57,7 @@
 
     def begin(self, name, engine):
         """Begin a request at an engine."""
-        share = Share(engine, 0.0, MEMORY, 250)
+        share = LoadShare(engine, 0.0, MEMORY, 250)
         self.table.start(name, [share], self.loop.now(), 10.0)
         self.requests[name] = engine
         self.peers.changed()
@@ -103,7 +103,7 @@
         """Return the streams at each engine as one daemon counts them."""
         names = {f"engine-{number}" for number in range(ENGINES)} | set(self.expected())
         totals = {name: daemon.table.total(name) for name in names}
-        return Counter({name: load.writers for name, load in totals.items() if load.writers})
+        return Counter({name: load.streams for name, load in totals.items() if load.streams})
 
     def right(self):
         """Return whether all count what is in flight, and its memory."""
--- a/features/steps/turning_away_steps.py
+++ b/features/steps/turning_away_steps.py
@@ -112,7 +112,7 @@
 @given("a stream at an endpoint of 8 places of which others have {taken:d}")
 def step_taken(context, taken):
     begin(context)
-    rows = [LoadRow(endpoint_key("engine-1"), EndpointLoad(calls=taken))]
+    rows = [LoadRow(endpoint_key("engine-1"), EndpointLoad(requests=taken))]
     context.host.table.merge("peer", rows, context.host.loop.now(), 1)
 
 
--- a/src/brassdrum/bench/load/engine.py
+++ b/src/brassdrum/bench/load/engine.py
@@ -8,7 +8,7 @@
 
 from brassdrum.bench.load.loop import SimulatedLoop
 from brassdrum.gateway.model import EngineModel
-from brassdrum.gateway.placing.costs import pass_ms
+from brassdrum.gateway.placing.costs import decode_pass_ms
 
 __all__ = ["EngineRun", "SimulatedEngine"]
 
@@ -130,7 +130,7 @@
         writers = [run for run in self._running if not run.reads]
         if writers:
             context = sum(run.prompt_tokens for run in writers)
-            seconds += pass_ms(self._model, len(writers), context) / 1000
+            seconds += decode_pass_ms(self._model, len(writers), context) / 1000
         if not seconds:
             self._busy = False
             return
--- a/src/brassdrum/gateway/guards/crash_guard.py
+++ b/src/brassdrum/gateway/guards/crash_guard.py
@@ -153,7 +153,7 @@
             alone = [
                 entry
                 for entry in entries
-                if self._table.total(entry.id).empty() and not avoided(entry.id)
+                if self._table.total(entry.id).is_empty() and not avoided(entry.id)
             ]
             return alone or list(entries)
         if not self._alone_until_by_endpoint:
--- a/src/brassdrum/gateway/peering/group.py
+++ b/src/brassdrum/gateway/peering/group.py
@@ -72,7 +72,7 @@
         known.heard = now
         known.told = False
         for row in report.rows:
-            if row.load.empty():
+            if row.load.is_empty():
                 known.load_by_key.pop(row.key, None)
             else:
                 known.load_by_key[row.key] = row.load
--- a/src/brassdrum/gateway/peering/peers.py
+++ b/src/brassdrum/gateway/peering/peers.py
@@ -124,7 +124,7 @@
         self._directory = Directory(own)
         self._publishers = Publishers()
         self._to_groups = RowTeller(lambda key: self._group.total(key))
-        self._to_members = RowTeller(table.total_of)
+        self._to_members = RowTeller(table.total_by_key)
         self._group = Group(table.own_row, self._to_groups.changed)
         self._reports = OwnReports(table.own_row)
         self._greeted_until: dict[str, float] = {}
@@ -228,7 +228,7 @@
         self._table.refresh(now)
         self._choose()
         self._greet_again(now)
-        self._table.changed |= self._table.reading_keys()
+        self._table.changed_own_keys |= self._table.prefilling_keys()
         if self.speaks:
             self._take_own_changes()
             self._publish(roll=True)
@@ -243,7 +243,7 @@
             self._drop_member(host)
         heartbeat = _HEARTBEAT_SECONDS if self._grouped else _HEARTBEAT_SECONDS * self._spread()
         for sender in self._publishers.drop_silent(now, _EXPIRE_HEARTBEATS * heartbeat):
-            self._table.forget(sender.name)
+            self._table.drop_publisher(sender.name)
             _note_lost(sender)
 
     def _note_lost_host(self, host: str) -> None:
@@ -254,7 +254,7 @@
     def _drop_member(self, host: str) -> None:
         sender = self._group.remove(host)
         if sender is not None:
-            self._table.forget(sender.name)
+            self._table.drop_publisher(sender.name)
             _note_lost(sender)
 
     # Who speaks.
@@ -292,10 +292,10 @@
         self._speaker = speaker
         now = self._loop.now()
         self._heard = _SpeakerWord(now, now, daemons=self._heard.daemons)
-        self._table.unacknowledge()
+        self._table.clear_acknowledged()
         self._reports.begin()
         self._group.counts_own = self.speaks
-        self._table.changed.update(row.key for row in self._table.own_rows())
+        self._table.changed_own_keys.update(row.key for row in self._table.own_rows())
         log_events.SPEAKER_CHOSEN.write(
             _logger, speaker=speaker, before=before, known=len(self._directory), live=self.live
         )
@@ -303,7 +303,7 @@
             self._report()
             return
         if before is not None:
-            self._table.forget_others("")
+            self._table.drop_other_publishers("")
         self._take_own_changes()
         self._publish(roll=True)
 
@@ -320,7 +320,7 @@
         for host in self._group.hosts:
             sender = self._group.remove(host)
             if sender is not None:
-                self._table.forget(sender.name)
+                self._table.drop_publisher(sender.name)
 
     def _ended(self, successor: str | None) -> Digest:
         found = None if successor is None else self._directory.address(successor)
@@ -344,7 +344,7 @@
     # Sending.
 
     def _take_own_changes(self) -> None:
-        changed, self._table.changed = self._table.changed, set()
+        changed, self._table.changed_own_keys = self._table.changed_own_keys, set()
         self._to_groups.changed(changed)
         self._to_members.changed(changed)
 
@@ -365,7 +365,7 @@
         speaker = self._reports_to
         if speaker is None:
             return
-        changed, self._table.changed = self._table.changed, set()
+        changed, self._table.changed_own_keys = self._table.changed_own_keys, set()
         sender = self._sender()
         rows = self._reports.rows(changed, sender.sequence)
         self._send(speaker, Report(sender, self._belief(), rows))
@@ -385,7 +385,7 @@
         data = encode_message(own)
         for host in [*self._other_speakers(), *(self._strangers() if roll else ())]:
             self._send_bytes(host, data)
-        told, self._table.told = self._table.told, set()
+        told, self._table.changed_remote_keys = self._table.changed_remote_keys, set()
         self._to_members.changed(told)
         if self._group.hosts:
             rows = self._to_members.tell(part=True)
@@ -549,10 +549,10 @@
         joined = self._group.take(report, now)
         if joined is None:
             if report.leaves:
-                self._table.forget(sender.name)
+                self._table.drop_publisher(sender.name)
             return
         if joined.first:
-            self._table.forget(sender.name)
+            self._table.drop_publisher(sender.name)
             log_events.PEER_FOUND.write(_logger, peer=sender.name, host=host)
         self._table.merge(sender.name, report.rows, now, sender.sequence)
         self._on_belief(host, report.belief)
@@ -595,7 +595,7 @@
         host = sender.address.host
         self._directory.vouched(digest.known, now)
         if self.speaks and self._publishers.forget(host) is not None:
-            self._table.forget(sender.name)
+            self._table.drop_publisher(sender.name)
         if sender.leaving:
             self._directory.forget(host)
         if host == self._speaker:
@@ -610,7 +610,7 @@
         if taken is None:
             return
         if taken.first or taken.began:
-            self._table.forget(sender.name)
+            self._table.drop_publisher(sender.name)
             log_events.PEER_FOUND.write(_logger, peer=sender.name, host=host)
         self._merge(digest, now)
         self._on_word(host, digest.belief)
@@ -629,7 +629,7 @@
         number = (sender.incarnation, sender.sequence)
         if sender.address.host != self._reports_to or number <= word.number:
             return
-        self._table.forget_others(sender.name)
+        self._table.drop_other_publishers(sender.name)
         word.heard_at = now
         word.number = number
         word.daemons = digest.daemons
@@ -654,9 +654,9 @@
 
     def _begin_reports(self) -> None:
         """Report all again: the speaker does not know this daemon, or has started again."""
-        self._table.unacknowledge()
+        self._table.clear_acknowledged()
         self._reports.begin()
-        self._table.changed.update(row.key for row in self._table.own_rows())
+        self._table.changed_own_keys.update(row.key for row in self._table.own_rows())
         self._plan_report()
 
     def _merge(self, digest: Digest, now: float, fallen: dict[int, int] | None = None) -> None:
@@ -664,7 +664,9 @@
         self._table.merge(sender.name, digest.rows, now, sender.sequence, fallen)
         if digest.parts:
             listed = {row.key for row in digest.rows}
-            self._table.keep_listed(sender.name, listed, digest.part, digest.parts, sender.sequence)
+            self._table.drop_unlisted(
+                sender.name, listed, digest.part, digest.parts, sender.sequence
+            )
 
 
 def _note_lost(sender: Sender) -> None:
--- a/src/brassdrum/gateway/peering/row_teller.py
+++ b/src/brassdrum/gateway/peering/row_teller.py
@@ -57,7 +57,7 @@
     def _loads(self, keys: set[int]) -> dict[int, EndpointLoad]:
         load_by_key = {key: self._total(key) for key in keys}
         for key, load in load_by_key.items():
-            if load.empty():
+            if load.is_empty():
                 self._keys.discard(key)
             else:
                 self._keys.add(key)
--- a/src/brassdrum/gateway/peering/wire.py
+++ b/src/brassdrum/gateway/peering/wire.py
@@ -93,18 +93,18 @@
         """Append a row of load; one of a short stream takes 14 bytes."""
         load = row.load
         memory = _units(load.memory)
-        streamed = _units(load.streamed)
-        writers = sorted(load.writers_by_pause.items())
+        streamed = _units(load.decode_memory)
+        writers = sorted(load.streams_by_max_pause.items())
         count = sum(number for _, number in writers)
         values = []
         flags = 0
         for flag, value, implied in (
-            (_READING, min(_MOST_SHORT, round(load.reading_ms)), 0),
+            (_READING, min(_MOST_SHORT, round(load.pending_prefill_ms)), 0),
             (_MEMORY, memory, 0),
             (_STREAMED, streamed, memory),
-            (_CALLS, min(_MOST_BYTE, load.calls), count),
-            (_HELPING, min(_MOST_BYTE, load.helping), 0),
-            (_PART, _units(load.part_tokens), 0),
+            (_CALLS, min(_MOST_BYTE, load.requests), count),
+            (_HELPING, min(_MOST_BYTE, load.helper_prefills), 0),
+            (_PART, _units(load.split_prefill_tokens), 0),
         ):
             if value != implied:
                 flags |= flag
--- a/src/brassdrum/gateway/placing/choosing.py
+++ b/src/brassdrum/gateway/placing/choosing.py
@@ -54,7 +54,7 @@
                 entry,
                 self._table.total(entry.id),
                 suspect(entry.id),
-                self._table.freed_since(
+                self._table.slots_freed_since(
                     entry.id, now - self._turn(entry.id, pause, late=late), own=late
                 ),
             )
--- a/src/brassdrum/gateway/placing/costs.py
+++ b/src/brassdrum/gateway/placing/costs.py
@@ -5,7 +5,7 @@
 from brassdrum.gateway.model import EngineModel
 from brassdrum.gateway.placing.load import EndpointLoad
 
-__all__ = ["next_pass_ms", "pass_ms", "prefill_ms"]
+__all__ = ["decode_pass_ms", "next_decode_pass_ms", "prefill_ms"]
 
 _PAIRS_PER_UNIT = 1e6
 _TOKENS_PER_UNIT = 1000.0
@@ -17,12 +17,12 @@
     return tokens / engine.read_per_ms + pairs * engine.pairs_ms_per_million
 
 
-def pass_ms(engine: EngineModel, writers: int, context: int) -> float:
+def decode_pass_ms(engine: EngineModel, writers: int, context: int) -> float:
     """Return the length of a pass that only writes; ``context`` sums the writers' tokens."""
     context_ms = engine.context_ms_per_1000 * context / _TOKENS_PER_UNIT
     return engine.stride * (engine.step_ms + engine.per_writer_ms * writers + context_ms)
 
 
-def next_pass_ms(engine: EngineModel, load: EndpointLoad) -> float:
+def next_decode_pass_ms(engine: EngineModel, load: EndpointLoad) -> float:
     """Return the length of a pass that only writes once one more stream is there."""
-    return pass_ms(engine, load.writers + 1, load.memory)
+    return decode_pass_ms(engine, load.streams + 1, load.memory)
--- a/src/brassdrum/gateway/placing/harm.py
+++ b/src/brassdrum/gateway/placing/harm.py
@@ -27,12 +27,12 @@
 
 def tokens_at_risk(load: EndpointLoad) -> float:
     """Return what the streams at an engine lose by a pass that lasts too long."""
-    return _LATE_SHARE * (load.streamed + _STREAM_TOKENS * load.writers)
+    return _LATE_SHARE * (load.decode_memory + _STREAM_TOKENS * load.streams)
 
 
 def delayed_tokens(load: EndpointLoad, part_ms: float) -> float:
     """Return what prompts that an engine reads parts of lose by a newer part of a length."""
-    return _LATE_SHARE * load.part_tokens * min(1.0, part_ms / _DELAY_MS)
+    return _LATE_SHARE * load.split_prefill_tokens * min(1.0, part_ms / _DELAY_MS)
 
 
 def blocked_tokens(part_ms: float, pressure: float) -> float:
--- a/src/brassdrum/gateway/placing/load.py
+++ b/src/brassdrum/gateway/placing/load.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field, replace
 from functools import lru_cache
 
-__all__ = ["EndpointLoad", "LoadRow", "LoadTable", "Share", "endpoint_key"]
+__all__ = ["EndpointLoad", "LoadRow", "LoadShare", "LoadTable", "endpoint_key"]
 
 # Parts take up to this much longer than predicted: passes that are under way end first.
 _PREDICTION_FACTOR = 1.3
@@ -36,60 +36,60 @@
     ``part_tokens`` the parts that it has yet to read of prompts shared between endpoints.
     """
 
-    reading_ms: float = 0.0
+    pending_prefill_ms: float = 0.0
     memory: int = 0
-    streamed: int = 0
-    calls: int = 0
-    helping: int = 0
-    writers_by_pause: dict[int, int] = field(default_factory=dict)
-    part_tokens: int = 0
+    decode_memory: int = 0
+    requests: int = 0
+    helper_prefills: int = 0
+    streams_by_max_pause: dict[int, int] = field(default_factory=dict)
+    split_prefill_tokens: int = 0
 
     @property
-    def writers(self) -> int:
+    def streams(self) -> int:
         """Return the number of streams."""
-        return sum(self.writers_by_pause.values())
+        return sum(self.streams_by_max_pause.values())
 
-    def tightest_pause(self) -> int | None:
+    def shortest_max_pause(self) -> int | None:
         """Return the shortest pause that a stream here allows, or None without streams."""
         return min(
-            (pause for pause, count in self.writers_by_pause.items() if count > 0), default=None
+            (pause for pause, count in self.streams_by_max_pause.items() if count > 0), default=None
         )
 
     def add(self, other: EndpointLoad, sign: int) -> None:
         """Add or take away other work; sums may be below nothing until they are complete."""
-        self.reading_ms += sign * other.reading_ms
+        self.pending_prefill_ms += sign * other.pending_prefill_ms
         self.memory += sign * other.memory
-        self.streamed += sign * other.streamed
-        self.calls += sign * other.calls
-        self.helping += sign * other.helping
-        self.part_tokens += sign * other.part_tokens
-        for pause, count in other.writers_by_pause.items():
-            left = self.writers_by_pause.get(pause, 0) + sign * count
+        self.decode_memory += sign * other.decode_memory
+        self.requests += sign * other.requests
+        self.helper_prefills += sign * other.helper_prefills
+        self.split_prefill_tokens += sign * other.split_prefill_tokens
+        for pause, count in other.streams_by_max_pause.items():
+            left = self.streams_by_max_pause.get(pause, 0) + sign * count
             if left:
-                self.writers_by_pause[pause] = left
+                self.streams_by_max_pause[pause] = left
             else:
-                self.writers_by_pause.pop(pause, None)
+                self.streams_by_max_pause.pop(pause, None)
 
-    def bounded(self) -> EndpointLoad:
+    def clamped(self) -> EndpointLoad:
         """Return the same without what is below nothing: messages cross on the way."""
-        writers = {pause: count for pause, count in self.writers_by_pause.items() if count > 0}
+        writers = {pause: count for pause, count in self.streams_by_max_pause.items() if count > 0}
         return EndpointLoad(
-            max(0.0, self.reading_ms),
+            max(0.0, self.pending_prefill_ms),
             max(0, self.memory),
-            max(0, self.streamed),
-            max(0, self.calls),
-            max(0, self.helping),
+            max(0, self.decode_memory),
+            max(0, self.requests),
+            max(0, self.helper_prefills),
             writers,
-            max(0, self.part_tokens),
+            max(0, self.split_prefill_tokens),
         )
 
     def copy(self) -> EndpointLoad:
         """Return another object with the same work."""
-        return replace(self, writers_by_pause=dict(self.writers_by_pause))
+        return replace(self, streams_by_max_pause=dict(self.streams_by_max_pause))
 
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Return whether no work is in flight."""
-        return not (self.calls or self.helping or self.memory)
+        return not (self.requests or self.helper_prefills or self.memory)
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,36 +101,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _ToldRow:
+class _ReceivedRow:
     sequence: int
     load: EndpointLoad
 
 
 @dataclass(frozen=True, slots=True)
-class _FreedPlaces:
+class _FreedSlots:
     at: float
-    places: int
+    slots: int
     own: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class LoadShare:
     """Hold what one request takes at one endpoint; a helper reads a part and may store one."""
 
     endpoint: str
-    reading_ms: float
+    prefill_ms: float
     memory: int = 0
-    pause_ms: int | None = None
-    helper: bool = False
-    part_tokens: int = 0
+    max_pause_ms: int | None = None
+    is_helper: bool = False
+    split_prefill_tokens: int = 0
 
-    def load(self, *, reading: bool) -> EndpointLoad:
+    def as_load(self, *, reading: bool) -> EndpointLoad:
         """Return the share as load, before or after the prompt was read."""
-        read = self.reading_ms if reading else 0.0
-        part = self.part_tokens if reading else 0
-        if self.helper:
+        read = self.prefill_ms if reading else 0.0
+        part = self.split_prefill_tokens if reading else 0
+        if self.is_helper:
             return EndpointLoad(read, self.memory, 0, 0, int(reading), {}, part)
-        writers = {} if self.pause_ms is None else {self.pause_ms: 1}
+        writers = {} if self.max_pause_ms is None else {self.max_pause_ms: 1}
         return EndpointLoad(read, self.memory, self.memory, 1, 0, writers, part)
 
 
@@ -147,37 +147,37 @@
         self._total_by_key: dict[int, EndpointLoad] = {}
         self._own_by_key: dict[int, EndpointLoad] = defaultdict(EndpointLoad)
         self._acknowledged_by_key: dict[int, EndpointLoad] = {}
-        self._shares_by_request: dict[str, tuple[Share, ...]] = {}
+        self._shares_by_request: dict[str, tuple[LoadShare, ...]] = {}
         self._predicted_by_request: dict[str, float] = {}
-        self._rows_by_publisher: dict[str, dict[int, _ToldRow]] = {}
-        self._freed_by_key: dict[int, deque[_FreedPlaces]] = defaultdict(deque)
-        self.changed: set[int] = set()
-        self.told: set[int] = set()
+        self._rows_by_publisher: dict[str, dict[int, _ReceivedRow]] = {}
+        self._freed_by_key: dict[int, deque[_FreedSlots]] = defaultdict(deque)
+        self.changed_own_keys: set[int] = set()
+        self.changed_remote_keys: set[int] = set()
 
     def total(self, endpoint: str) -> EndpointLoad:
         """Return the work of all daemons at an endpoint; not to be changed."""
-        return self.total_of(endpoint_key(endpoint))
+        return self.total_by_key(endpoint_key(endpoint))
 
-    def total_of(self, key: int) -> EndpointLoad:
+    def total_by_key(self, key: int) -> EndpointLoad:
         """Return the work of all daemons at the endpoint with a key; not to be changed."""
         total = self._total_by_key.get(key)
         if total is None:
             total = self._total_by_key[key] = self._sum(key)
         return total
 
-    def freed_since(self, endpoint: str, since: float, *, own: bool) -> int:
+    def slots_freed_since(self, endpoint: str, since: float, *, own: bool) -> int:
         """Return how many places others' streams, and own ones too, have freed since a time."""
         freed = self._freed_by_key.get(endpoint_key(endpoint))
         if freed is None:
             return 0
-        return sum(each.places for each in freed if each.at > since and (own or not each.own))
+        return sum(each.slots for each in freed if each.at > since and (own or not each.own))
 
-    def start(self, request: str, shares: Iterable[Share], now: float, first_ms: float) -> None:
+    def start(self, request: str, shares: Iterable[LoadShare], now: float, first_ms: float) -> None:
         """Note an own request that is sent, with the predicted time to its first event."""
         self._shares_by_request[request] = tuple(shares)
         self._predicted_by_request[request] = now + first_ms / 1000 * _PREDICTION_FACTOR
         for share in self._shares_by_request[request]:
-            self._change(share.endpoint, share.load(reading=True), 1)
+            self._change(share.endpoint, share.as_load(reading=True), 1)
 
     def refresh(self, now: float) -> None:
         """Take off what own requests have read by now, as far as predicted.
@@ -189,41 +189,41 @@
             left_ms = (predicted - now) * 1000
             shares = []
             for share in self._shares_by_request[request]:
-                reading = max(share.reading_ms * _UNSURE_SHARE, min(share.reading_ms, left_ms))
+                reading = max(share.prefill_ms * _UNSURE_SHARE, min(share.prefill_ms, left_ms))
                 key = endpoint_key(share.endpoint)
-                self._own_by_key[key].reading_ms -= share.reading_ms - reading
+                self._own_by_key[key].pending_prefill_ms -= share.prefill_ms - reading
                 self._total_by_key.pop(key, None)
-                shares.append(replace(share, reading_ms=reading))
+                shares.append(replace(share, prefill_ms=reading))
             self._shares_by_request[request] = tuple(shares)
 
-    def prompt_read(self, request: str) -> None:
+    def prefill_finished(self, request: str) -> None:
         """Note that a request writes now: its prompt is read and its helpers are free."""
         shares = self._shares_by_request.get(request, ())
         for share in shares:
-            self._change(share.endpoint, share.load(reading=True), -1)
-            self._change(share.endpoint, share.load(reading=False), 1)
+            self._change(share.endpoint, share.as_load(reading=True), -1)
+            self._change(share.endpoint, share.as_load(reading=False), 1)
         self._predicted_by_request.pop(request, None)
 
     def end(self, request: str, now: float) -> None:
         """Note that an own request ended."""
         reading = self._predicted_by_request.pop(request, None) is not None
         for share in self._shares_by_request.pop(request, ()):
-            self._change(share.endpoint, share.load(reading=reading), -1)
-            if share.pause_ms is not None:
+            self._change(share.endpoint, share.as_load(reading=reading), -1)
+            if share.max_pause_ms is not None:
                 self._note_freed(endpoint_key(share.endpoint), 1, now, own=True)
 
     def own_row(self, key: int) -> LoadRow:
         """Return a copy of the own work at one endpoint."""
-        return LoadRow(key, self._own_by_key[key].bounded())
+        return LoadRow(key, self._own_by_key[key].clamped())
 
     def own_rows(self) -> Iterator[LoadRow]:
         """Return copies of all own work that is in flight."""
         for key, load in list(self._own_by_key.items()):
-            if load.empty():
+            if load.is_empty():
                 continue
-            yield LoadRow(key, load.bounded())
+            yield LoadRow(key, load.clamped())
 
-    def reading_keys(self) -> set[int]:
+    def prefilling_keys(self) -> set[int]:
         """Return the keys of endpoints that read for own requests; their rows change with time."""
         shares = (self._shares_by_request[request] for request in self._predicted_by_request)
         return {endpoint_key(share.endpoint) for each in shares for share in each}
@@ -236,14 +236,14 @@
         fallen = {}
         for row in rows:
             earlier = self._acknowledged_by_key.pop(row.key, None)
-            before = 0 if earlier is None else earlier.writers
-            fallen[row.key] = before - row.load.writers
-            if not row.load.empty():
+            before = 0 if earlier is None else earlier.streams
+            fallen[row.key] = before - row.load.streams
+            if not row.load.is_empty():
                 self._acknowledged_by_key[row.key] = row.load
             self._total_by_key.pop(row.key, None)
         return fallen
 
-    def unacknowledge(self) -> None:
+    def clear_acknowledged(self) -> None:
         """Take that no publisher counts the own work any more."""
         for key in self._acknowledged_by_key:
             self._total_by_key.pop(key, None)
@@ -266,7 +266,7 @@
             earlier = known.get(row.key)
             if earlier is not None and earlier.sequence > sequence:
                 continue
-            known[row.key] = _ToldRow(sequence, row.load)
+            known[row.key] = _ReceivedRow(sequence, row.load)
             if earlier is None:
                 self._retell(row.key)
                 continue
@@ -274,9 +274,9 @@
                 continue
             self._retell(row.key)
             own = 0 if fallen is None else fallen.get(row.key, 0)
-            self._note_freed(row.key, earlier.load.writers - row.load.writers - own, now)
+            self._note_freed(row.key, earlier.load.streams - row.load.streams - own, now)
 
-    def keep_listed(
+    def drop_unlisted(
         self, publisher: str, listed: set[int], part: int, parts: int, sequence: int
     ) -> None:
         """Drop the rows of one part of a publisher's keys that it does not list any more."""
@@ -286,19 +286,19 @@
                 del known[key]
                 self._retell(key)
 
-    def forget(self, publisher: str) -> None:
+    def drop_publisher(self, publisher: str) -> None:
         """Drop what a publisher told."""
         for key in self._rows_by_publisher.pop(publisher, {}):
             self._retell(key)
 
-    def forget_others(self, publisher: str) -> None:
+    def drop_other_publishers(self, publisher: str) -> None:
         """Drop what all told but one."""
         for other in [name for name in self._rows_by_publisher if name != publisher]:
-            self.forget(other)
+            self.drop_publisher(other)
 
     def _retell(self, key: int) -> None:
         self._total_by_key.pop(key, None)
-        self.told.add(key)
+        self.changed_remote_keys.add(key)
 
     def _sum(self, key: int) -> EndpointLoad:
         total = EndpointLoad()
@@ -312,13 +312,13 @@
         acknowledged = self._acknowledged_by_key.get(key)
         if acknowledged is not None:
             total.add(acknowledged, -1)
-        return total.bounded()
+        return total.clamped()
 
     def _note_freed(self, key: int, places: int, now: float, *, own: bool = False) -> None:
         if places <= 0:
             return
         freed = self._freed_by_key[key]
-        freed.append(_FreedPlaces(now, places, own))
+        freed.append(_FreedSlots(now, places, own))
         while freed[0].at < now - _FREED_KEPT_SECONDS:
             freed.popleft()
 
@@ -326,4 +326,4 @@
         key = endpoint_key(endpoint)
         self._own_by_key[key].add(load, sign)
         self._total_by_key.pop(key, None)
-        self.changed.add(key)
+        self.changed_own_keys.add(key)
--- a/src/brassdrum/gateway/placing/packing.py
+++ b/src/brassdrum/gateway/placing/packing.py
@@ -7,7 +7,7 @@
 import random
 
 from brassdrum.gateway.model import EngineModel
-from brassdrum.gateway.placing.costs import next_pass_ms, pass_ms, prefill_ms
+from brassdrum.gateway.placing.costs import decode_pass_ms, next_decode_pass_ms, prefill_ms
 from brassdrum.gateway.placing.load import EndpointLoad
 from brassdrum.gateway.placing.placement import (
     Candidate,
@@ -39,10 +39,10 @@
     def rank(each: Candidate) -> tuple[bool, bool, bool, float, float]:
         load = each.load
         full = no_place(need, each, engine)
-        pause = next_pass_ms(engine, load) + load.reading_ms + cost
-        packed = load.writers < cap and load.reading_ms <= _PACKED_READING_MS
+        pause = next_decode_pass_ms(engine, load) + load.pending_prefill_ms + cost
+        packed = load.streams < cap and load.pending_prefill_ms <= _PACKED_READING_MS
         # Fill engines that light streams share already, so that the others stay free for parts.
-        crowd = -float(_light_writers(load, need.pause_ms)) if packed else load.reading_ms
+        crowd = -float(_light_writers(load, need.pause_ms)) if packed else load.pending_prefill_ms
         crowded = pause > allowed_pause_ms(load, need.pause_ms)
         return full, crowded, not packed, crowd, rng.random()
 
@@ -63,9 +63,9 @@
     assert need.pause_ms is not None
     streams = sum(_light_writers(each.load, need.pause_ms) for each in candidates)
     passes = max(1.0, need.answer_tokens / engine.stride)
-    unseen = streams * need.unseen_ms / (passes * pass_ms(engine, engine.slots, 0))
+    unseen = streams * need.unseen_ms / (passes * decode_pass_ms(engine, engine.slots, 0))
     return 1 + round(unseen)
 
 
 def _light_writers(load: EndpointLoad, pause_ms: int) -> int:
-    return sum(count for pause, count in load.writers_by_pause.items() if pause <= pause_ms)
+    return sum(count for pause, count in load.streams_by_max_pause.items() if pause <= pause_ms)
--- a/src/brassdrum/gateway/placing/placement.py
+++ b/src/brassdrum/gateway/placing/placement.py
@@ -8,8 +8,8 @@
 from enum import Enum, auto
 
 from brassdrum.gateway.model import EndpointEntry, EngineModel
-from brassdrum.gateway.placing.costs import next_pass_ms, prefill_ms
-from brassdrum.gateway.placing.load import EndpointLoad, Share
+from brassdrum.gateway.placing.costs import next_decode_pass_ms, prefill_ms
+from brassdrum.gateway.placing.load import EndpointLoad, LoadShare
 
 __all__ = [
     "FULL_WAIT_SHARE",
@@ -83,7 +83,7 @@
 
     def full(self, engine: EngineModel) -> bool:
         """Return whether every place is taken or claimed."""
-        return self.load.writers + self.claimed >= engine.slots
+        return self.load.streams + self.claimed >= engine.slots
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,7 +105,7 @@
 
     entry: EndpointEntry
     helpers: tuple[Helper, ...]
-    shares: tuple[Share, ...]
+    shares: tuple[LoadShare, ...]
     first_event_ms: float
     reason: str
     harm: float = 0.0
@@ -116,7 +116,7 @@
     @property
     def work_ms(self) -> float:
         """Return how long all endpoints together read."""
-        return sum(share.reading_ms for share in self.shares)
+        return sum(share.prefill_ms for share in self.shares)
 
 
 class Verdict(Enum):
@@ -170,8 +170,8 @@
     """Return how much of all engines is taken by streams or by prompts to read, from 0 to 1."""
     taken = 0.0
     for each in candidates:
-        reading = each.load.reading_ms / _FULL_READING_MS
-        taken += min(1.0, each.load.writers / engine.slots + reading)
+        reading = each.load.pending_prefill_ms / _FULL_READING_MS
+        taken += min(1.0, each.load.streams / engine.slots + reading)
     return taken / len(candidates)
 
 
@@ -192,7 +192,7 @@
 
 def allowed_pause_ms(load: EndpointLoad, own_pause_ms: int) -> float:
     """Return how long a pass may last at an engine, with the streams there and a further one."""
-    tightest = load.tightest_pause()
+    tightest = load.shortest_max_pause()
     pause = own_pause_ms if tightest is None else min(tightest, own_pause_ms)
     return pause * _PAUSE_SHARE
 
@@ -207,9 +207,9 @@
 ) -> Placement:
     """Return the placement of a request at one endpoint without helpers."""
     cost = 0.0 if engine is None else prefill_ms(engine, need.prompt_tokens)
-    wait = chosen.load.reading_ms + (
-        next_pass_ms(engine, chosen.load) if engine is not None else 0.0
+    wait = chosen.load.pending_prefill_ms + (
+        next_decode_pass_ms(engine, chosen.load) if engine is not None else 0.0
     )
-    share = Share(chosen.entry.id, cost, need.tokens, need.pause_ms)
+    share = LoadShare(chosen.entry.id, cost, need.tokens, need.pause_ms)
     first = wait + cost
     return Placement(chosen.entry, (), (share,), first, reason, harm, 0.0, first, full)
--- a/src/brassdrum/gateway/placing/policies.py
+++ b/src/brassdrum/gateway/placing/policies.py
@@ -44,7 +44,7 @@
     """Take the endpoint with the fewest requests in flight."""
     if not candidates:
         return None
-    fewest = min(candidates, key=lambda each: (each.suspect, each.load.calls, rng.random()))
+    fewest = min(candidates, key=lambda each: (each.suspect, each.load.requests, rng.random()))
     return placed_alone(need, fewest, engine, "fewest calls")
 
 
--- a/src/brassdrum/gateway/placing/splitting.py
+++ b/src/brassdrum/gateway/placing/splitting.py
@@ -8,14 +8,14 @@
 from dataclasses import dataclass
 
 from brassdrum.gateway.model import EngineModel
-from brassdrum.gateway.placing.costs import next_pass_ms, pass_ms, prefill_ms
+from brassdrum.gateway.placing.costs import decode_pass_ms, next_decode_pass_ms, prefill_ms
 from brassdrum.gateway.placing.harm import (
     blocked_tokens,
     delayed_tokens,
     lateness_tokens,
     tokens_at_risk,
 )
-from brassdrum.gateway.placing.load import EndpointLoad, Share
+from brassdrum.gateway.placing.load import EndpointLoad, LoadShare
 from brassdrum.gateway.placing.placement import (
     Candidate,
     Helper,
@@ -91,11 +91,11 @@
             candidate=each,
             fits=fits(need, each, engine),
             full=each.full(engine),
-            room=room if load.helping < engine.slots else -math.inf,
+            room=room if load.helper_prefills < engine.slots else -math.inf,
             risk=tokens_at_risk(load) + 1.0,
             light=_tighter_writers(load, need),
-            crowd=load.reading_ms + _WRITER_MS * load.writers,
-            wait=next_pass_ms(engine, load) + load.reading_ms,
+            crowd=load.pending_prefill_ms + _WRITER_MS * load.streams,
+            wait=next_decode_pass_ms(engine, load) + load.pending_prefill_ms,
             order=order,
         )
 
@@ -145,7 +145,7 @@
     helpers = heapq.nsmallest(
         count - 1,
         (view for view in views if view is not head),
-        key=lambda view: (view.harm(part), view.candidate.load.reading_ms, view.order),
+        key=lambda view: (view.harm(part), view.candidate.load.pending_prefill_ms, view.order),
     )
     members = [head, *helpers]
     late = _lateness(need, part + max(view.wait for view in members))
@@ -156,7 +156,11 @@
 def _room_ms(candidate: Candidate, engine: EngineModel, own_pause: int) -> float:
     """Return how long a part may last at an engine before a stream there pauses too long."""
     load = candidate.load
-    return allowed_pause_ms(load, own_pause) - next_pass_ms(engine, load) - load.reading_ms
+    return (
+        allowed_pause_ms(load, own_pause)
+        - next_decode_pass_ms(engine, load)
+        - load.pending_prefill_ms
+    )
 
 
 def _lateness(need: Need, first_event_ms: float) -> float:
@@ -165,12 +169,14 @@
 
 
 def _first_event_ms(engine: EngineModel, members: list[Candidate], part: float) -> float:
-    return part + max(next_pass_ms(engine, each.load) + each.load.reading_ms for each in members)
+    return part + max(
+        next_decode_pass_ms(engine, each.load) + each.load.pending_prefill_ms for each in members
+    )
 
 
 def _tighter_writers(load: EndpointLoad, need: Need) -> int:
     assert need.pause_ms is not None
-    return sum(n for pause, n in load.writers_by_pause.items() if pause < need.pause_ms)
+    return sum(n for pause, n in load.streams_by_max_pause.items() if pause < need.pause_ms)
 
 
 def _together(
@@ -179,16 +185,18 @@
     part = prefill_ms(engine, need.prompt_tokens) / group.count
     own = need.tokens - sum(stored_by_id.values())
     tokens = need.prompt_tokens // group.count
-    shares = [Share(group.head.entry.id, part, own, need.pause_ms, part_tokens=tokens)]
+    shares = [LoadShare(group.head.entry.id, part, own, need.pause_ms, split_prefill_tokens=tokens)]
     helpers = []
     for each in group.helpers:
         stored = stored_by_id.get(each.entry.id, 0)
-        shares.append(Share(each.entry.id, part, stored, helper=True, part_tokens=tokens))
+        shares.append(
+            LoadShare(each.entry.id, part, stored, is_helper=True, split_prefill_tokens=tokens)
+        )
         helpers.append(Helper(each.entry, stored))
     first = _first_event_ms(engine, [group.head, *group.helpers], part)
     reason = f"{group.count} parts of {part:.0f} ms, {len(stored_by_id)} stored apart"
     best = prefill_ms(engine, need.prompt_tokens) / (_MOST_HELPERS + 1) * _HOPED_FACTOR
-    best += pass_ms(engine, 1, need.prompt_tokens)
+    best += decode_pass_ms(engine, 1, need.prompt_tokens)
     return Placement(
         group.head.entry,
         tuple(helpers),
@@ -215,7 +223,7 @@
         key=lambda each: (
             each.full(engine),
             each.load.memory,
-            each.load.reading_ms,
+            each.load.pending_prefill_ms,
             order_by_id[each.entry.id],
         ),
     )
--- a/src/brassdrum/gateway/request/attempt.py
+++ b/src/brassdrum/gateway/request/attempt.py
@@ -104,7 +104,7 @@
     @property
     def leaves_room(self) -> bool:
         """Return whether many places of the endpoint are known to be free after this attempt."""
-        taken = self._host.table.total(self.endpoint).calls
+        taken = self._host.table.total(self.endpoint).requests
         return taken <= self._placement.entry.slots * _ROOM_SHARE
 
     @property
@@ -163,7 +163,7 @@
         if self._writing or self._finished:
             return
         self._writing = True
-        self._host.table.prompt_read(self._key)
+        self._host.table.prefill_finished(self._key)
         self._host.load_changed()
 
     def cancel(self) -> None:
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -415,7 +415,7 @@
     def reading_seconds(self) -> float:
         """Return how long the present attempt's endpoint has to read."""
         assert self._attempt is not None
-        return self._host.table.total(self._attempt.endpoint).reading_ms / 1000
+        return self._host.table.total(self._attempt.endpoint).pending_prefill_ms / 1000
 
     def fell_silent(self, *, certain: bool) -> None:
         """Send the request elsewhere when its endpoint is silent."""
