--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -96,7 +96,9 @@
         """Place on the next engine that was not tried."""
         entry = next(each for each in self.entries if each.id not in exchange.tried)
         first_ms = _LATE_MS if self.harm else _TIMELY_MS
-        return Placement(entry, (), (), first_ms, "test", harm=self.harm, best_ms=10.0)
+        return Placement(
+            entry, (), (), first_ms, "test", interference_tokens=self.harm, best_first_event_ms=10.0
+        )
 
     def next_number(self):
         """Return the next number."""
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -27,10 +27,10 @@
 from brassdrum.gateway.placing.load import EndpointLoad, LoadRow, LoadShare, LoadTable, endpoint_key
 from brassdrum.gateway.placing.placement import (
     Candidate,
-    Need,
     Placement,
-    better_later,
-    worth_serving,
+    PlacementRequest,
+    is_worth_serving,
+    should_wait,
 )
 from brassdrum.gateway.placing.policies import policies
 from brassdrum.gateway.request.retry_budget import SharedRetryBudget
@@ -38,12 +38,12 @@
 from features.gateway_world import HOST, engine_entry, route
 
 ENGINE = EngineModel(8, 405_000, 1.31, 0.001, 0.002, 154.0, 0.162, 2048, 34, 0.1)
-SHORT = Need(5_000, 1_300, 300.0, 250)
+SHORT = PlacementRequest(5_000, 1_300, 300.0, 250)
 SHORT_LOAD = EndpointLoad(0.0, 6_300, 6_300, 1, 0, {250: 1})
 
 
 def long_need(tokens, waited=0.0):
-    return Need(tokens, 600, 3000.0, 1000, waited)
+    return PlacementRequest(tokens, 600, 3000.0, 1000, waited)
 
 
 def place(context, need, policy="least_harm"):
@@ -140,17 +140,17 @@
 
 @then("nothing is harmed")
 def step_no_harm(context):
-    assert context.placement.harm == 0
+    assert context.placement.interference_tokens == 0
 
 
 @then("something is harmed")
 def step_harm(context):
-    assert context.placement.harm > 0
+    assert context.placement.interference_tokens > 0
 
 
 @then("it is called late")
 def step_late(context):
-    assert context.placement.late > 0
+    assert context.placement.lateness_tokens > 0
 
 
 @given("a placement that puts {harm:d} tokens of others and {late:d} of its own at risk")
@@ -162,18 +162,18 @@
 
 @then("a prompt of {tokens:d} tokens that waited {waited:d} ms {decision}")
 def step_decision(context, tokens, waited, decision):
-    waits = better_later(Need(tokens, 0, 3000.0, 1000, float(waited)), context.placement)
+    waits = should_wait(PlacementRequest(tokens, 0, 3000.0, 1000, float(waited)), context.placement)
     assert waits == (decision == "waits")
 
 
 @then("it is worth serving")
 def step_worth(context):
-    assert worth_serving(context.need, context.placement), context.placement
+    assert is_worth_serving(context.need, context.placement), context.placement
 
 
 @then("it is not worth serving")
 def step_not_worth(context):
-    assert not worth_serving(context.need, context.placement), context.placement
+    assert not is_worth_serving(context.need, context.placement), context.placement
 
 
 @then("every engine stores less than its memory")
@@ -184,8 +184,8 @@
 @then("the stored parts make up the prompt")
 def step_whole(context):
     stored = sum(share.memory for share in context.placement.shares)
-    assert stored >= context.need.tokens
-    named = {each.entry.id: each.stored for each in context.placement.helpers}
+    assert stored >= context.need.total_tokens
+    named = {each.entry.id: each.stored_tokens for each in context.placement.helpers}
     for share in context.placement.shares[1:]:
         assert share.memory == named[share.endpoint]
 
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -39,7 +39,7 @@
 
     def policy(need, candidates, engine, rng):
         placement = _LEAST_HARM(need, [_unclaimed(each) for each in candidates], engine, rng)
-        return replace(placement, full=False)
+        return replace(placement, endpoint_full=False)
 
     return Variant(policy)
 
@@ -59,7 +59,7 @@
     """Choose the fullest engine that has room, whatever others may be sending there."""
 
     def policy(need, candidates, engine, rng):
-        return _LEAST_HARM(replace(need, unseen_ms=0.0), candidates, engine, rng)
+        return _LEAST_HARM(replace(need, propagation_ms=0.0), candidates, engine, rng)
 
     return Variant(policy)
 
@@ -102,7 +102,7 @@
 
 
 def _unclaimed(candidate):
-    return replace(candidate, claimed=0)
+    return replace(candidate, claimed_slots=0)
 
 
 def total(context, variant, figure):
--- a/src/brassdrum/bench/load/daemon.py
+++ b/src/brassdrum/bench/load/daemon.py
@@ -26,9 +26,9 @@
 from brassdrum.gateway.net.upstream import OutgoingRequest
 from brassdrum.gateway.peering.peer_messages import PeerBelief
 from brassdrum.gateway.peering.peers import Peers
-from brassdrum.gateway.placing.choosing import Chooser
+from brassdrum.gateway.placing.endpoint_selector import EndpointSelector
 from brassdrum.gateway.placing.load import LoadTable
-from brassdrum.gateway.placing.placement import Need, Placement
+from brassdrum.gateway.placing.placement import Placement, PlacementRequest
 from brassdrum.gateway.placing.policies import Policy
 from brassdrum.gateway.request.attempt import Attempt
 from brassdrum.gateway.request.exchange import Exchange
@@ -157,7 +157,7 @@
     def __init__(self, daemon: SimulatedDaemon) -> None:
         self._daemon = daemon
 
-    def hold(
+    def acquire(
         self,
         reservations: tuple[Reservation, ...],
         _user: str,
@@ -232,17 +232,17 @@
             # Its own draws: placements of a seed stay the same whatever daemons tell each other.
             random.Random(name),
         )
-        self._chooser = Chooser(name, self.table, rng, lambda: self.peers.flush_seconds)
+        self._chooser = EndpointSelector(name, self.table, rng, lambda: self.peers.flush_seconds)
         self._numbers = itertools.count()
 
-    def place(self, exchange: Exchange, need: Need) -> Placement | None:
+    def place(self, exchange: Exchange, need: PlacementRequest) -> Placement | None:
         """Return where to send a request now."""
         now = self.loop.now()
         entries = [
             entry for entry in self.knowledge.usable(SERVICE) if entry.id not in exchange.tried
         ]
         late = now > exchange.times.timely_until
-        return self._chooser.choose(
+        return self._chooser.select(
             self.fleet.policy, need, entries, lambda _: False, self.fleet.model, now, late=late
         )
 
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -39,11 +39,11 @@
 from brassdrum.gateway.net.upstream import EndpointPool
 from brassdrum.gateway.pages import Page, PageResponder, ReadinessResponder
 from brassdrum.gateway.peering.peers import Peers
-from brassdrum.gateway.placing.choosing import Chooser
+from brassdrum.gateway.placing.endpoint_selector import EndpointSelector
 from brassdrum.gateway.placing.load import LoadTable
-from brassdrum.gateway.placing.placement import Need, Placement
+from brassdrum.gateway.placing.placement import Placement, PlacementRequest
 from brassdrum.gateway.placing.policies import policies
-from brassdrum.gateway.placing.reservations import Reservations
+from brassdrum.gateway.placing.reservations import ReservationManager
 from brassdrum.gateway.request.admission import Refusal, admit
 from brassdrum.gateway.request.attempt import Attempt
 from brassdrum.gateway.request.early import EarlyRequest, EarlyRequests, longest_hold
@@ -93,7 +93,7 @@
         self.table = LoadTable()
         self.pool = EndpointPool(self.loop)
         self.metrics = GatewayMetrics(settings.name)
-        self.reservations = Reservations(
+        self.reservations = ReservationManager(
             self.loop,
             self.pool,
             dialect,
@@ -105,7 +105,9 @@
         self.line = WaitingLine(self.loop, self._jitter)
         self._store = store
         self._policy = policies.get(settings.policy)
-        self._chooser = Chooser(settings.name, self.table, self._random, self._flush_seconds)
+        self._chooser = EndpointSelector(
+            settings.name, self.table, self._random, self._flush_seconds
+        )
         self._budget_by_service: dict[str, SharedRetryBudget] = {}
         self._connections: set[CallerConnection] = set()
         self._exchanges: set[Exchange] = set()
@@ -288,7 +290,7 @@
 
     # What exchanges ask.
 
-    def place(self, exchange: Exchange, need: Need) -> Placement | None:
+    def place(self, exchange: Exchange, need: PlacementRequest) -> Placement | None:
         """Return where to send a request now."""
         now = self.loop.now()
         usable = self.guard.choices(
@@ -296,7 +298,7 @@
             self.knowledge.usable(exchange.service),
             self.beliefs.suspect,
         )
-        return self._chooser.choose(
+        return self._chooser.select(
             self._policy,
             need,
             [entry for entry in usable if entry.id not in exchange.tried],
--- a/src/brassdrum/gateway/placing/choosing.py
+++ b/src/brassdrum/gateway/placing/endpoint_selector.py
@@ -9,10 +9,10 @@
 
 from brassdrum.gateway.model import EndpointEntry, EngineModel
 from brassdrum.gateway.placing.load import LoadTable
-from brassdrum.gateway.placing.placement import Candidate, Need, Placement
+from brassdrum.gateway.placing.placement import Candidate, Placement, PlacementRequest
 from brassdrum.gateway.placing.policies import Policy
 
-__all__ = ["Chooser"]
+__all__ = ["EndpointSelector"]
 
 # A place that a stream has freed is left to its own daemon first, then to the others in turns that
 # differ by endpoint. Else all daemons with waiting requests send there in the same moment, and all
@@ -24,7 +24,7 @@
 _UNSEEN_FLUSHES = 2.0
 
 
-class Chooser:
+class EndpointSelector:
     """Apply a policy to the endpoints that are left to this daemon now."""
 
     def __init__(
@@ -35,10 +35,10 @@
         self._random = rng
         self._flush_seconds = flush_seconds
 
-    def choose(
+    def select(
         self,
         policy: Policy,
-        need: Need,
+        need: PlacementRequest,
         entries: Iterable[EndpointEntry],
         suspect: Callable[[str], bool],
         engine: EngineModel | None,
@@ -61,7 +61,7 @@
             for entry in entries
         ]
         unseen_ms = pause * _UNSEEN_FLUSHES * 1000
-        return policy(replace(need, unseen_ms=unseen_ms), candidates, engine, self._random)
+        return policy(replace(need, propagation_ms=unseen_ms), candidates, engine, self._random)
 
     def _turn(self, endpoint: str, pause: float, *, late: bool) -> float:
         """Return for how many seconds places that are freed at an endpoint are left to others."""
--- a/src/brassdrum/gateway/placing/placement.py
+++ b/src/brassdrum/gateway/placing/placement.py
@@ -12,21 +12,21 @@
 from brassdrum.gateway.placing.load import EndpointLoad, LoadShare
 
 __all__ = [
-    "FULL_WAIT_SHARE",
+    "SLOT_WAIT_PATIENCE_SHARE",
     "Candidate",
+    "Decision",
     "Helper",
-    "Need",
     "Placement",
-    "Verdict",
-    "allowed_pause_ms",
-    "better_later",
-    "fits",
-    "judge",
-    "no_place",
-    "placed_alone",
-    "pressure_of",
+    "PlacementRequest",
+    "decide",
+    "fits_memory",
+    "fleet_utilization",
+    "is_worth_serving",
+    "place_on_one",
+    "should_wait",
     "usable_memory",
-    "worth_serving",
+    "usable_pause_ms",
+    "would_queue",
 ]
 
 # A request waits while its first event could come within this part of its objective if half of the
@@ -38,7 +38,7 @@
 _ACCEPTED_SHARE = 0.5
 # A request waits for a free place while its first event would come within this part of the time
 # after which its caller gives up.
-FULL_WAIT_SHARE = 0.75
+SLOT_WAIT_PATIENCE_SHARE = 0.75
 # An engine with this much to read takes no further part without stopping its streams for longer
 # than those of long prompts allow.
 _FULL_READING_MS = 700.0
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class PlacementRequest:
     """Hold what a request asks of an endpoint; times in ms, lengths in tokens.
 
     ``unseen_ms`` is for how long what other daemons send is not yet seen here.
@@ -58,13 +58,13 @@
     prompt_tokens: int
     answer_tokens: int
     objective_ms: float
-    pause_ms: int | None
+    max_pause_ms: int | None
     waited_ms: float = 0.0
     patience_ms: float = math.inf
-    unseen_ms: float = 0.0
+    propagation_ms: float = 0.0
 
     @property
-    def tokens(self) -> int:
+    def total_tokens(self) -> int:
         """Return the memory that the request fills in the end."""
         return self.prompt_tokens + self.answer_tokens
 
@@ -79,11 +79,11 @@
     entry: EndpointEntry
     load: EndpointLoad
     suspect: bool = False
-    claimed: int = 0
+    claimed_slots: int = 0
 
-    def full(self, engine: EngineModel) -> bool:
+    def is_full(self, engine: EngineModel) -> bool:
         """Return whether every place is taken or claimed."""
-        return self.load.streams + self.claimed >= engine.slots
+        return self.load.streams + self.claimed_slots >= engine.slots
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,7 +91,7 @@
     """Hold an engine that reads a part of a prompt and the tokens that it stores for it."""
 
     entry: EndpointEntry
-    stored: int = 0
+    stored_tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,18 +108,18 @@
     shares: tuple[LoadShare, ...]
     first_event_ms: float
     reason: str
-    harm: float = 0.0
-    late: float = 0.0
-    best_ms: float = 0.0
-    full: bool = False
+    interference_tokens: float = 0.0
+    lateness_tokens: float = 0.0
+    best_first_event_ms: float = 0.0
+    endpoint_full: bool = False
 
     @property
-    def work_ms(self) -> float:
+    def total_prefill_ms(self) -> float:
         """Return how long all endpoints together read."""
         return sum(share.prefill_ms for share in self.shares)
 
 
-class Verdict(Enum):
+class Decision(Enum):
     """Say what becomes of a request, given its best placement now."""
 
     SEND = auto()
@@ -127,46 +127,46 @@
     REFUSE = auto()
 
 
-def judge(need: Need, placement: Placement) -> Verdict:
+def decide(need: PlacementRequest, placement: Placement) -> Decision:
     """Return whether a request is sent now, waits for calmer engines, or is refused at once."""
-    if placement.full:
+    if placement.endpoint_full:
         return _judge_full(need, placement)
-    if better_later(need, placement):
-        return Verdict.WAIT
-    return Verdict.SEND if worth_serving(need, placement) else Verdict.REFUSE
+    if should_wait(need, placement):
+        return Decision.WAIT
+    return Decision.SEND if is_worth_serving(need, placement) else Decision.REFUSE
 
 
-def _judge_full(need: Need, placement: Placement) -> Verdict:
+def _judge_full(need: PlacementRequest, placement: Placement) -> Decision:
     """Return whether a request waits for a free place.
 
     A request that queues inside an engine cannot be moved, ordered or refused any more.
     """
-    if need.waited_ms + placement.best_ms < need.patience_ms * FULL_WAIT_SHARE:
-        return Verdict.WAIT
-    return Verdict.REFUSE
+    if need.waited_ms + placement.best_first_event_ms < need.patience_ms * SLOT_WAIT_PATIENCE_SHARE:
+        return Decision.WAIT
+    return Decision.REFUSE
 
 
-def better_later(need: Need, placement: Placement) -> bool:
+def should_wait(need: PlacementRequest, placement: Placement) -> bool:
     """Return whether a request should wait for other engines instead of taking this placement."""
-    loss = placement.harm + placement.late
+    loss = placement.interference_tokens + placement.lateness_tokens
     if not loss:
         return False
-    best = (need.waited_ms + placement.best_ms) / need.objective_ms
+    best = (need.waited_ms + placement.best_first_event_ms) / need.objective_ms
     timely = need.waited_ms + placement.first_event_ms < need.objective_ms
     if best < _WAIT_SHARE or (timely and best < _LATE_WAIT_SHARE):
-        return loss > need.tokens * _ACCEPTED_SHARE * min(1.0, best / _WAIT_SHARE)
+        return loss > need.total_tokens * _ACCEPTED_SHARE * min(1.0, best / _WAIT_SHARE)
     # One that comes late in any case leaves those alone that can still come in time.
-    return placement.harm > 0 and best < _LATE_WAIT_SHARE
+    return placement.interference_tokens > 0 and best < _LATE_WAIT_SHARE
 
 
-def worth_serving(need: Need, placement: Placement) -> bool:
+def is_worth_serving(need: PlacementRequest, placement: Placement) -> bool:
     """Return whether a request earns more than it costs others, and its caller still awaits it."""
     if need.waited_ms + placement.first_event_ms >= need.patience_ms:
         return False
-    return placement.harm <= need.tokens - placement.late
+    return placement.interference_tokens <= need.total_tokens - placement.lateness_tokens
 
 
-def pressure_of(candidates: Sequence[Candidate], engine: EngineModel) -> float:
+def fleet_utilization(candidates: Sequence[Candidate], engine: EngineModel) -> float:
     """Return how much of all engines is taken by streams or by prompts to read, from 0 to 1."""
     taken = 0.0
     for each in candidates:
@@ -180,25 +180,25 @@
     return int(engine.memory * _MEMORY_SHARE)
 
 
-def fits(need: Need, candidate: Candidate, engine: EngineModel) -> bool:
+def fits_memory(need: PlacementRequest, candidate: Candidate, engine: EngineModel) -> bool:
     """Return whether an engine has memory for the whole request."""
-    return candidate.load.memory + need.tokens <= usable_memory(engine)
+    return candidate.load.memory + need.total_tokens <= usable_memory(engine)
 
 
-def no_place(need: Need, candidate: Candidate, engine: EngineModel) -> bool:
+def would_queue(need: PlacementRequest, candidate: Candidate, engine: EngineModel) -> bool:
     """Return whether a request would queue at an engine until other work there has ended."""
-    return candidate.full(engine) or not fits(need, candidate, engine)
+    return candidate.is_full(engine) or not fits_memory(need, candidate, engine)
 
 
-def allowed_pause_ms(load: EndpointLoad, own_pause_ms: int) -> float:
+def usable_pause_ms(load: EndpointLoad, own_pause_ms: int) -> float:
     """Return how long a pass may last at an engine, with the streams there and a further one."""
     tightest = load.shortest_max_pause()
     pause = own_pause_ms if tightest is None else min(tightest, own_pause_ms)
     return pause * _PAUSE_SHARE
 
 
-def placed_alone(
-    need: Need,
+def place_on_one(
+    need: PlacementRequest,
     chosen: Candidate,
     engine: EngineModel | None,
     reason: str,
@@ -210,6 +210,6 @@
     wait = chosen.load.pending_prefill_ms + (
         next_decode_pass_ms(engine, chosen.load) if engine is not None else 0.0
     )
-    share = LoadShare(chosen.entry.id, cost, need.tokens, need.pause_ms)
+    share = LoadShare(chosen.entry.id, cost, need.total_tokens, need.max_pause_ms)
     first = wait + cost
     return Placement(chosen.entry, (), (share,), first, reason, harm, 0.0, first, full)
--- a/src/brassdrum/gateway/placing/policies.py
+++ b/src/brassdrum/gateway/placing/policies.py
@@ -7,9 +7,9 @@
 
 from brassdrum.gateway.model import EngineModel
 from brassdrum.gateway.placing.costs import prefill_ms
-from brassdrum.gateway.placing.packing import place_light
-from brassdrum.gateway.placing.placement import Candidate, Need, Placement, placed_alone
-from brassdrum.gateway.placing.splitting import place_heavy
+from brassdrum.gateway.placing.packing import place_short_prompt
+from brassdrum.gateway.placing.placement import Candidate, Placement, PlacementRequest, place_on_one
+from brassdrum.gateway.placing.splitting import place_long_prompt
 from brassdrum.registry import Registry
 
 __all__ = ["Policy", "policies"]
@@ -17,13 +17,15 @@
 # Prompts that one engine reads within this are not split and share engines with their like.
 _LIGHT_MS = 90.0
 
-Policy = Callable[[Need, Sequence[Candidate], EngineModel | None, random.Random], Placement | None]
+Policy = Callable[
+    [PlacementRequest, Sequence[Candidate], EngineModel | None, random.Random], Placement | None
+]
 policies: Registry[Policy] = Registry("placement policy")
 
 
 @policies.register("round_robin")
 def round_robin(
-    need: Need,
+    need: PlacementRequest,
     candidates: Sequence[Candidate],
     engine: EngineModel | None,
     rng: random.Random,
@@ -31,12 +33,12 @@
     """Take any endpoint, whatever its load."""
     if not candidates:
         return None
-    return placed_alone(need, rng.choice(list(candidates)), engine, "any")
+    return place_on_one(need, rng.choice(list(candidates)), engine, "any")
 
 
 @policies.register("least_outstanding")
 def least_outstanding(
-    need: Need,
+    need: PlacementRequest,
     candidates: Sequence[Candidate],
     engine: EngineModel | None,
     rng: random.Random,
@@ -45,22 +47,22 @@
     if not candidates:
         return None
     fewest = min(candidates, key=lambda each: (each.suspect, each.load.requests, rng.random()))
-    return placed_alone(need, fewest, engine, "fewest calls")
+    return place_on_one(need, fewest, engine, "fewest calls")
 
 
 @policies.register("least_harm")
 def least_harm(
-    need: Need,
+    need: PlacementRequest,
     candidates: Sequence[Candidate],
     engine: EngineModel | None,
     rng: random.Random,
 ) -> Placement | None:
     """Split long prompts and pack short ones, so that no stream pauses longer than it may."""
-    if engine is None or need.pause_ms is None:
+    if engine is None or need.max_pause_ms is None:
         return least_outstanding(need, candidates, engine, rng)
     sound = [each for each in candidates if not each.suspect] or list(candidates)
     if not sound:
         return None
     if prefill_ms(engine, need.prompt_tokens) <= _LIGHT_MS:
-        return place_light(need, sound, engine, rng)
-    return place_heavy(need, sound, engine, rng)
+        return place_short_prompt(need, sound, engine, rng)
+    return place_long_prompt(need, sound, engine, rng)
--- a/src/brassdrum/gateway/placing/reservations.py
+++ b/src/brassdrum/gateway/placing/reservations.py
@@ -9,7 +9,7 @@
 from brassdrum.gateway.net.loop import EventLoop, Timer
 from brassdrum.gateway.net.upstream import Break, EndpointCall, EndpointPool, OutgoingRequest
 
-__all__ = ["Hold", "Reservations"]
+__all__ = ["MemoryHold", "ReservationManager"]
 
 _logger = logging.getLogger(__name__)
 # An order takes a few ms; one without an answer may be carried out seconds later.
@@ -26,7 +26,7 @@
 _RELEASE_ATTEMPTS = 3
 
 
-class Order:
+class _ReservationCall:
     """Send one order or question and tell the status of its answer, 0 without one."""
 
     def __init__(self, loop: EventLoop, pool: EndpointPool, done: Callable[[int], None]) -> None:
@@ -36,7 +36,7 @@
         self._call: EndpointCall | None = None
         self._timer = loop.call_later(_ORDER_SECONDS, self._late)
 
-    def send(self, address: str, path: str, body: bytes) -> None:
+    def post(self, address: str, path: str, body: bytes) -> None:
         """Send an order."""
         headers = [
             (b"Host", address.encode()),
@@ -46,7 +46,7 @@
         request = OutgoingRequest(b"POST", path.encode(), headers, body)
         self._call = self._pool.call(address, self, request)
 
-    def ask(self, address: str, path: str) -> None:
+    def get(self, address: str, path: str) -> None:
         """Send a question."""
         request = OutgoingRequest(b"GET", path.encode(), [(b"Host", address.encode())], b"")
         self._call = self._pool.call(address, self, request)
@@ -79,12 +79,12 @@
             done(status)
 
 
-class Hold:
+class MemoryHold:
     """Keep the memory of one prompt until it is released."""
 
     def __init__(
         self,
-        manager: Reservations,
+        manager: ReservationManager,
         reservations: tuple[Reservation, ...],
         user: str,
         done: Callable[[bool], None],
@@ -116,7 +116,7 @@
         if self._timer is not None:
             self._timer.cancel()
         for reservation in self.reservations:
-            self._manager.give_back(reservation, _RELEASE_ATTEMPTS)
+            self._manager.release_one(reservation, _RELEASE_ATTEMPTS)
 
     def _answered(self, granted: bool) -> None:
         self._waiting -= 1
@@ -134,7 +134,7 @@
 
     def _ask(self) -> None:
         """Ask the endpoint that uses the memory for a sign of life."""
-        self._manager.ask(self._user, self._heard)
+        self._manager.probe(self._user, self._heard)
 
     def _heard(self, answered: bool) -> None:
         if self._released:
@@ -157,7 +157,7 @@
         self._plan_renewal()
 
 
-class Reservations:
+class ReservationManager:
     """Send the orders of all holds of this daemon."""
 
     def __init__(
@@ -169,19 +169,19 @@
         self._pool = pool
         self._dialect = dialect
 
-    def hold(
+    def acquire(
         self,
         reservations: tuple[Reservation, ...],
         user: str,
         done: Callable[[bool], None],
         on_user_gone: Callable[[], None],
-    ) -> Hold:
+    ) -> MemoryHold:
         """Ask for memory at several endpoints; tell whether all of them granted it.
 
         ``user`` is the address of the endpoint that uses it. When that gives no sign of life, all
         is given back and ``on_user_gone`` is called.
         """
-        hold = Hold(self, reservations, user, done, on_user_gone)
+        hold = MemoryHold(self, reservations, user, done, on_user_gone)
         hold.acquire()
         return hold
 
@@ -192,24 +192,24 @@
         )
         self._order(reservation, body, done)
 
-    def give_back(self, reservation: Reservation, attempts: int) -> None:
+    def release_one(self, reservation: Reservation, attempts: int) -> None:
         """Tell one endpoint that the memory is free, again if it does not answer."""
 
         def repeat(granted: bool) -> None:
             if not granted and attempts > 1:
-                self.give_back(reservation, attempts - 1)
+                self.release_one(reservation, attempts - 1)
 
         self._order(reservation, self._dialect.release(reservation.ticket), repeat)
 
-    def ask(self, address: str, done: Callable[[bool], None]) -> None:
+    def probe(self, address: str, done: Callable[[bool], None]) -> None:
         """Tell whether an endpoint answers at all."""
-        order = Order(self.loop, self._pool, lambda status: done(status != _NO_ANSWER))
-        order.ask(address, self._dialect.report_path)
+        order = _ReservationCall(self.loop, self._pool, lambda status: done(status != _NO_ANSWER))
+        order.get(address, self._dialect.report_path)
 
     def _order(self, reservation: Reservation, body: bytes, done: Callable[[bool], None]) -> None:
         self.orders += 1
-        order = Order(self.loop, self._pool, lambda status: done(status == _GRANTED))
-        order.send(reservation.address, self._dialect.order_path, body)
+        order = _ReservationCall(self.loop, self._pool, lambda status: done(status == _GRANTED))
+        order.post(reservation.address, self._dialect.order_path, body)
 
 
 def _ignore(_granted: bool) -> None:
--- a/src/brassdrum/gateway/placing/splitting.py
+++ b/src/brassdrum/gateway/placing/splitting.py
@@ -9,25 +9,25 @@
 
 from brassdrum.gateway.model import EngineModel
 from brassdrum.gateway.placing.costs import decode_pass_ms, next_decode_pass_ms, prefill_ms
-from brassdrum.gateway.placing.harm import (
-    blocked_tokens,
-    delayed_tokens,
-    lateness_tokens,
-    tokens_at_risk,
-)
 from brassdrum.gateway.placing.load import EndpointLoad, LoadShare
 from brassdrum.gateway.placing.placement import (
     Candidate,
     Helper,
-    Need,
     Placement,
-    allowed_pause_ms,
-    fits,
-    pressure_of,
+    PlacementRequest,
+    fits_memory,
+    fleet_utilization,
     usable_memory,
+    usable_pause_ms,
+)
+from brassdrum.gateway.placing.token_loss import (
+    blocked_tokens,
+    delayed_prefill_tokens,
+    lateness_tokens,
+    stalled_stream_tokens,
 )
 
-__all__ = ["place_heavy"]
+__all__ = ["place_long_prompt"]
 
 # A prompt is split until no part lasts longer: streams beside a part pause for as long.
 _PART_MS = 60.0
@@ -44,8 +44,8 @@
 _STORED_SHARE = 0.35
 
 
-def place_heavy(
-    need: Need, candidates: list[Candidate], engine: EngineModel, rng: random.Random
+def place_long_prompt(
+    need: PlacementRequest, candidates: list[Candidate], engine: EngineModel, rng: random.Random
 ) -> Placement | None:
     """Place a long prompt on the group of engines that loses the fewest tokens."""
     views = [_EngineView.of(each, need, engine, rng.random()) for each in candidates]
@@ -56,7 +56,7 @@
     if len(views) > _CONSIDERED:
         views = heapq.nsmallest(_CONSIDERED, views, key=lambda view: (not view.fits, view.calm))
     fewest = max(1, math.ceil(prefill_ms(engine, need.prompt_tokens) / _PART_MS))
-    pressure = pressure_of(candidates, engine)
+    pressure = fleet_utilization(candidates, engine)
     best: _Group | None = None
     for count in range(1, min(_MOST_HELPERS + 1, len(views)) + 1):
         group = _group(need, views, count, engine, pressure)
@@ -82,17 +82,19 @@
     order: float
 
     @classmethod
-    def of(cls, each: Candidate, need: Need, engine: EngineModel, order: float) -> _EngineView:
+    def of(
+        cls, each: Candidate, need: PlacementRequest, engine: EngineModel, order: float
+    ) -> _EngineView:
         """Look at an engine; one that helps too many has no room."""
         load = each.load
-        assert need.pause_ms is not None
-        room = _room_ms(each, engine, need.pause_ms)
+        assert need.max_pause_ms is not None
+        room = _room_ms(each, engine, need.max_pause_ms)
         return cls(
             candidate=each,
-            fits=fits(need, each, engine),
-            full=each.full(engine),
+            fits=fits_memory(need, each, engine),
+            full=each.is_full(engine),
             room=room if load.helper_prefills < engine.slots else -math.inf,
-            risk=tokens_at_risk(load) + 1.0,
+            risk=stalled_stream_tokens(load) + 1.0,
             light=_tighter_writers(load, need),
             crowd=load.pending_prefill_ms + _WRITER_MS * load.streams,
             wait=next_decode_pass_ms(engine, load) + load.pending_prefill_ms,
@@ -106,7 +108,7 @@
     def harm(self, part: float) -> float:
         """Return the tokens that a part of a length puts at risk here."""
         paused = 0.0 if self.room >= part else self.risk
-        return paused + delayed_tokens(self.candidate.load, part)
+        return paused + delayed_prefill_tokens(self.candidate.load, part)
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,7 +133,11 @@
 
 
 def _group(
-    need: Need, views: list[_EngineView], count: int, engine: EngineModel, pressure: float
+    need: PlacementRequest,
+    views: list[_EngineView],
+    count: int,
+    engine: EngineModel,
+    pressure: float,
 ) -> _Group:
     """Return the engines that are harmed least by one of a number of even parts.
 
@@ -157,15 +163,15 @@
     """Return how long a part may last at an engine before a stream there pauses too long."""
     load = candidate.load
     return (
-        allowed_pause_ms(load, own_pause)
+        usable_pause_ms(load, own_pause)
         - next_decode_pass_ms(engine, load)
         - load.pending_prefill_ms
     )
 
 
-def _lateness(need: Need, first_event_ms: float) -> float:
+def _lateness(need: PlacementRequest, first_event_ms: float) -> float:
     """Return the tokens that the request itself loses by coming late."""
-    return lateness_tokens(need.tokens, (need.waited_ms + first_event_ms) / need.objective_ms)
+    return lateness_tokens(need.total_tokens, (need.waited_ms + first_event_ms) / need.objective_ms)
 
 
 def _first_event_ms(engine: EngineModel, members: list[Candidate], part: float) -> float:
@@ -174,18 +180,20 @@
     )
 
 
-def _tighter_writers(load: EndpointLoad, need: Need) -> int:
-    assert need.pause_ms is not None
-    return sum(n for pause, n in load.streams_by_max_pause.items() if pause < need.pause_ms)
+def _tighter_writers(load: EndpointLoad, need: PlacementRequest) -> int:
+    assert need.max_pause_ms is not None
+    return sum(n for pause, n in load.streams_by_max_pause.items() if pause < need.max_pause_ms)
 
 
 def _together(
-    need: Need, group: _Group, stored_by_id: dict[str, int], engine: EngineModel
+    need: PlacementRequest, group: _Group, stored_by_id: dict[str, int], engine: EngineModel
 ) -> Placement:
     part = prefill_ms(engine, need.prompt_tokens) / group.count
-    own = need.tokens - sum(stored_by_id.values())
+    own = need.total_tokens - sum(stored_by_id.values())
     tokens = need.prompt_tokens // group.count
-    shares = [LoadShare(group.head.entry.id, part, own, need.pause_ms, split_prefill_tokens=tokens)]
+    shares = [
+        LoadShare(group.head.entry.id, part, own, need.max_pause_ms, split_prefill_tokens=tokens)
+    ]
     helpers = []
     for each in group.helpers:
         stored = stored_by_id.get(each.entry.id, 0)
@@ -206,12 +214,12 @@
         group.harm,
         group.late,
         best,
-        group.head.full(engine),
+        group.head.is_full(engine),
     )
 
 
 def _place_apart(
-    need: Need,
+    need: PlacementRequest,
     candidates: list[Candidate],
     engine: EngineModel,
     order_by_id: dict[str, float],
@@ -221,17 +229,17 @@
     by_calm = sorted(
         candidates,
         key=lambda each: (
-            each.full(engine),
+            each.is_full(engine),
             each.load.memory,
             each.load.pending_prefill_ms,
             order_by_id[each.entry.id],
         ),
     )
-    fewest = math.ceil(need.tokens / (engine.memory * _STORED_SHARE))
+    fewest = math.ceil(need.total_tokens / (engine.memory * _STORED_SHARE))
     most = min(len(by_calm), _MOST_HELPERS + 1)
     # Small parts first; larger ones where there are too few engines with memory for these.
     for count in [*range(fewest, most + 1), *range(min(fewest - 1, most), 1, -1)]:
-        part = math.ceil(need.tokens / count)
+        part = math.ceil(need.total_tokens / count)
         roomy = [each for each in by_calm if free_by_id[each.entry.id] >= part]
         if len(roomy) < count:
             continue
@@ -241,14 +249,14 @@
 
 
 def _read_by_more(
-    need: Need, holders: list[Candidate], by_calm: list[Candidate], engine: EngineModel
+    need: PlacementRequest, holders: list[Candidate], by_calm: list[Candidate], engine: EngineModel
 ) -> _Group:
     """Return the holders of a prompt with as many more readers as do least harm."""
-    assert need.pause_ms is not None
+    assert need.max_pause_ms is not None
     held = {each.entry.id for each in holders}
     readers = [each for each in by_calm if each.entry.id not in held]
     cost = prefill_ms(engine, need.prompt_tokens)
-    pressure = pressure_of(by_calm, engine)
+    pressure = fleet_utilization(by_calm, engine)
     views = {each.entry.id: _EngineView.of(each, need, engine, 0.0) for each in by_calm}
     best: _Group | None = None
     for count in range(len(holders), min(len(by_calm), _MOST_HELPERS + 1) + 1):
--- a/src/brassdrum/gateway/placing/harm.py
+++ b/src/brassdrum/gateway/placing/token_loss.py
@@ -4,7 +4,7 @@
 
 from brassdrum.gateway.placing.load import EndpointLoad
 
-__all__ = ["blocked_tokens", "delayed_tokens", "lateness_tokens", "tokens_at_risk"]
+__all__ = ["blocked_tokens", "delayed_prefill_tokens", "lateness_tokens", "stalled_stream_tokens"]
 
 # An answer after its objective earns about a quarter: the share of its worth that is lost.
 _LATE_SHARE = 0.75
@@ -25,12 +25,12 @@
 _BLOCKED_TOKENS_PER_SECOND = 25_000
 
 
-def tokens_at_risk(load: EndpointLoad) -> float:
+def stalled_stream_tokens(load: EndpointLoad) -> float:
     """Return what the streams at an engine lose by a pass that lasts too long."""
     return _LATE_SHARE * (load.decode_memory + _STREAM_TOKENS * load.streams)
 
 
-def delayed_tokens(load: EndpointLoad, part_ms: float) -> float:
+def delayed_prefill_tokens(load: EndpointLoad, part_ms: float) -> float:
     """Return what prompts that an engine reads parts of lose by a newer part of a length."""
     return _LATE_SHARE * load.split_prefill_tokens * min(1.0, part_ms / _DELAY_MS)
 
--- a/src/brassdrum/gateway/request/attempt.py
+++ b/src/brassdrum/gateway/request/attempt.py
@@ -17,7 +17,7 @@
 from brassdrum.gateway.net.upstream import Break, EndpointCall, EndpointPool, OutgoingRequest
 from brassdrum.gateway.placing.load import LoadTable
 from brassdrum.gateway.placing.placement import Helper, Placement
-from brassdrum.gateway.placing.reservations import Hold, Reservations
+from brassdrum.gateway.placing.reservations import MemoryHold, ReservationManager
 
 __all__ = ["Attempt", "AttemptHost", "AttemptOwner", "helper_name"]
 
@@ -32,7 +32,7 @@
     dialect: Dialect
     pool: EndpointPool
     table: LoadTable
-    reservations: Reservations
+    reservations: ReservationManager
 
     def load_changed(self) -> None:
         """Learn that own work in flight changed."""
@@ -86,7 +86,7 @@
         # Not the number of sends: one that was refused memory is not counted there.
         self._number = host.next_number()
         self._key = f"{exchange.request.id}.{self._number}"
-        self._hold: Hold | None = None
+        self._hold: MemoryHold | None = None
         self._call: EndpointCall | None = None
         self._writing = False
         self._finished = False
@@ -126,13 +126,13 @@
         )
         self._host.load_changed()
         reservations = tuple(
-            Reservation(each.entry.address, self.ticket(each.entry.name), each.stored)
+            Reservation(each.entry.address, self.ticket(each.entry.name), each.stored_tokens)
             for each in self._placement.helpers
-            if each.stored
+            if each.stored_tokens
         )
         if reservations:
             user = self._placement.entry.address
-            self._hold = self._host.reservations.hold(
+            self._hold = self._host.reservations.acquire(
                 reservations, user, self._held, self._user_gone
             )
             return
@@ -205,5 +205,5 @@
 
 def helper_name(attempt: Attempt, helper: Helper) -> HelperName:
     """Return how a request names a helper and the memory that it holds."""
-    ticket = attempt.ticket(helper.entry.name) if helper.stored else None
+    ticket = attempt.ticket(helper.entry.name) if helper.stored_tokens else None
     return HelperName(helper.entry.address, ticket)
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -17,7 +17,7 @@
 from brassdrum.gateway.net.callers import CallerConnection
 from brassdrum.gateway.net.loop import Timer
 from brassdrum.gateway.net.upstream import Break, OutgoingRequest
-from brassdrum.gateway.placing.placement import Need, Placement, Verdict, judge
+from brassdrum.gateway.placing.placement import Decision, Placement, PlacementRequest, decide
 from brassdrum.gateway.request.attempt import Attempt, helper_name
 from brassdrum.gateway.request.events import EventOrderError, EventReader
 from brassdrum.gateway.request.exchange_host import ExchangeHost
@@ -111,11 +111,11 @@
         """Return the seconds until the answer must be whole."""
         return self._deadline - self._host.loop.now()
 
-    def need(self) -> Need:
+    def need(self) -> PlacementRequest:
         """Return what the request asks of an endpoint."""
         # A route that names no pause is held to its objective.
         pause = self.route.longest_pause or self.route.objective
-        return Need(
+        return PlacementRequest(
             self.request.prompt_tokens,
             self.request.answer_tokens,
             self.route.objective * 1000,
@@ -238,14 +238,18 @@
             self._stop_waiting()
             self._fail("no endpoint takes the request")
             return
-        verdict = judge(need, placement)
-        if verdict is Verdict.WAIT and not self._host.may_wait(self):
-            verdict = Verdict.SEND
-        if verdict is Verdict.WAIT and self._wait(placement):
+        verdict = decide(need, placement)
+        if verdict is Decision.WAIT and not self._host.may_wait(self):
+            verdict = Decision.SEND
+        if verdict is Decision.WAIT and self._wait(placement):
             return
-        self._stop_waiting(served=verdict is Verdict.SEND)
-        if verdict is not Verdict.SEND and not self._may_have_run and not self._began:
-            detail = "every place is taken" if placement.full else "others would lose more by it"
+        self._stop_waiting(served=verdict is Decision.SEND)
+        if verdict is not Decision.SEND and not self._may_have_run and not self._began:
+            detail = (
+                "every place is taken"
+                if placement.endpoint_full
+                else "others would lose more by it"
+            )
             self._fail(detail, self._host.line.retry_seconds())
             return
         self.sends += 1
@@ -264,19 +268,19 @@
     def _wait(self, placement: Placement) -> bool:
         """Wait for a better placement; return False where that is in vain."""
         now = self._host.loop.now()
-        self._waits_for_place = placement.full
+        self._waits_for_place = placement.endpoint_full
         self.times.expect(placement, now)
         late = now > self.times.timely_until
-        if late and placement.full and not self._host.line.keeps_late(self):
+        if late and placement.endpoint_full and not self._host.line.keeps_late(self):
             return False
         if self._waits:
             return True
         self._waits = True
         self._decided(
             log_events.WAITING,
-            harm=round(placement.harm),
-            late=round(placement.late),
-            full=placement.full,
+            harm=round(placement.interference_tokens),
+            late=round(placement.lateness_tokens),
+            full=placement.endpoint_full,
             predicted_ms=round(placement.first_event_ms),
         )
         self._host.line.join(self)
@@ -295,8 +299,8 @@
             helpers=[each.entry.id for each in placement.helpers],
             predicted_ms=round(placement.first_event_ms),
             waited_ms=round((self._host.loop.now() - self.arrived) * 1000),
-            harm=round(placement.harm),
-            late=round(placement.late),
+            harm=round(placement.interference_tokens),
+            late=round(placement.lateness_tokens),
             reason=placement.reason,
             send=self.sends,
             version=self._host.knowledge.version,
--- a/src/brassdrum/gateway/request/exchange_host.py
+++ b/src/brassdrum/gateway/request/exchange_host.py
@@ -8,7 +8,7 @@
 from brassdrum.gateway.following.knowledge import Knowledge
 from brassdrum.gateway.guards.crash_guard import CrashGuard
 from brassdrum.gateway.guards.endings import LostRequest
-from brassdrum.gateway.placing.placement import Need, Placement
+from brassdrum.gateway.placing.placement import Placement, PlacementRequest
 from brassdrum.gateway.request.attempt import Attempt, AttemptHost
 from brassdrum.gateway.request.outcome import Outcome
 from brassdrum.gateway.request.waiting import WaitingLine
@@ -28,7 +28,7 @@
     line: WaitingLine
     guard: CrashGuard
 
-    def place(self, exchange: Exchange, need: Need) -> Placement | None:
+    def place(self, exchange: Exchange, need: PlacementRequest) -> Placement | None:
         """Return where to send a request now."""
 
     def may_wait(self, exchange: Exchange) -> bool:
--- a/src/brassdrum/gateway/request/patience.py
+++ b/src/brassdrum/gateway/request/patience.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from brassdrum.gateway.model import DeclaredRequest, Headers, Route
-from brassdrum.gateway.placing.placement import FULL_WAIT_SHARE, Placement
+from brassdrum.gateway.placing.placement import SLOT_WAIT_PATIENCE_SHARE, Placement
 
 __all__ = [
     "WaitTimes",
@@ -70,7 +70,7 @@
     def expect(self, placement: Placement, now: float) -> None:
         """Take what is predicted for the best endpoints now."""
         to_come = placement.first_event_ms / 1000 * _PREDICTION_MARGIN
-        self.work = placement.work_ms / 1000
+        self.work = placement.total_prefill_ms / 1000
         self.timely_until = self.due = self.arrived + self.objective - to_come
         if now > self.timely_until:
-            self.due = self.arrived + self.patience * FULL_WAIT_SHARE - to_come
+            self.due = self.arrived + self.patience * SLOT_WAIT_PATIENCE_SHARE - to_come
