--- a/src/brassdrum/gateway/placing/__init__.py
+++ b/src/brassdrum/gateway/placing/__init__.py
@@ -1,1 +1,1 @@
-"""Decide where a request goes, from the work in flight at all endpoints."""
+"""Select endpoints for requests by the load in flight at all endpoints."""
--- a/src/brassdrum/gateway/placing/costs.py
+++ b/src/brassdrum/gateway/placing/costs.py
@@ -1,4 +1,4 @@
-"""Predict what a prompt costs an engine from the cost model that its service declares."""
+"""Predict prefill and decode times from the cost model that a service declares."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 __all__ = ["decode_pass_ms", "next_decode_pass_ms", "prefill_ms"]
 
-_PAIRS_PER_UNIT = 1e6
-_TOKENS_PER_UNIT = 1000.0
+_TOKEN_PAIRS_PER_UNIT = 1e6
+_CONTEXT_TOKENS_PER_UNIT = 1000.0
 
 
 def prefill_ms(engine: EngineModel, tokens: int) -> float:
-    """Return the time that one engine takes to read a whole prompt."""
-    pairs = tokens * tokens / 2 / _PAIRS_PER_UNIT
+    """Return the time that one engine takes to prefill a whole prompt."""
+    pairs = tokens * tokens / 2 / _TOKEN_PAIRS_PER_UNIT
     return tokens / engine.read_per_ms + pairs * engine.pairs_ms_per_million
 
 
-def decode_pass_ms(engine: EngineModel, writers: int, context: int) -> float:
-    """Return the length of a pass that only writes; ``context`` sums the writers' tokens."""
-    context_ms = engine.context_ms_per_1000 * context / _TOKENS_PER_UNIT
-    return engine.stride * (engine.step_ms + engine.per_writer_ms * writers + context_ms)
+def decode_pass_ms(engine: EngineModel, streams: int, context_tokens: int) -> float:
+    """Return the duration of a decode-only pass; ``context_tokens`` is the sum over its streams."""
+    context_ms = engine.context_ms_per_1000 * context_tokens / _CONTEXT_TOKENS_PER_UNIT
+    return engine.stride * (engine.step_ms + engine.per_writer_ms * streams + context_ms)
 
 
 def next_decode_pass_ms(engine: EngineModel, load: EndpointLoad) -> float:
-    """Return the length of a pass that only writes once one more stream is there."""
+    """Return the duration of a decode-only pass after one more stream is added."""
     return decode_pass_ms(engine, load.streams + 1, load.memory)
