--- a/src/brassdrum/gateway/placing/endpoint_selector.py
+++ b/src/brassdrum/gateway/placing/endpoint_selector.py
@@ -1,4 +1,4 @@
-"""Choose endpoints from the shared picture, each daemon at its own turn."""
+"""Select endpoints by fleet-wide load, with a back-off slot per daemon for freed slots."""
 
 from __future__ import annotations
 
@@ -14,18 +14,17 @@
 
 __all__ = ["EndpointSelector"]
 
-# A place that a stream has freed is left to its own daemon first, then to the others in turns that
-# differ by endpoint. Else all daemons with waiting requests send there in the same moment, and all
-# but one of those requests wait inside the engine: 0.3 to 1 s at 8 places. A turn lasts until the
-# datagrams of the turn before are there: a pause between them, and the way.
-_TURNS = 8
-_FLUSHES_PER_TURN = 2.0
-# What another daemon sends is seen here after a pause, a relay in its zone and the handling.
-_UNSEEN_FLUSHES = 2.0
+# A freed slot is reserved for the daemon whose stream freed it, then offered to the others in
+# back-off slots that differ by endpoint, so that daemons with queued requests don't all send to it
+# at once. A back-off slot covers a flush interval and the delivery of the reports.
+_BACKOFF_SLOTS = 8
+_FLUSHES_PER_BACKOFF_SLOT = 2.0
+# Flush intervals until another daemon's placement is visible here, with the relay in its zone.
+_PROPAGATION_FLUSHES = 2.0
 
 
 class EndpointSelector:
-    """Apply a policy to the endpoints that are left to this daemon now."""
+    """Apply a placement policy to the endpoints that are available to this daemon."""
 
     def __init__(
         self, name: str, table: LoadTable, rng: random.Random, flush_seconds: Callable[[], float]
@@ -38,7 +37,7 @@
     def select(
         self,
         policy: Policy,
-        need: PlacementRequest,
+        request: PlacementRequest,
         entries: Iterable[EndpointEntry],
         suspect: Callable[[str], bool],
         engine: EngineModel | None,
@@ -46,24 +45,28 @@
         *,
         late: bool,
     ) -> Placement | None:
-        """Return where to send a request now; ``late`` ones leave freed places to timely ones."""
+        """Return the placement of a request; ``late`` ones yield freed slots to those in time."""
         self._table.refresh(now)
-        pause = self._flush_seconds()
+        flush_seconds = self._flush_seconds()
         candidates = [
             Candidate(
                 entry,
                 self._table.total(entry.id),
                 suspect(entry.id),
                 self._table.slots_freed_since(
-                    entry.id, now - self._turn(entry.id, pause, late=late), own=late
+                    entry.id,
+                    now - self._backoff_seconds(entry.id, flush_seconds, late=late),
+                    own=late,
                 ),
             )
             for entry in entries
         ]
-        unseen_ms = pause * _UNSEEN_FLUSHES * 1000
-        return policy(replace(need, propagation_ms=unseen_ms), candidates, engine, self._random)
+        propagation_ms = flush_seconds * _PROPAGATION_FLUSHES * 1000
+        return policy(
+            replace(request, propagation_ms=propagation_ms), candidates, engine, self._random
+        )
 
-    def _turn(self, endpoint: str, pause: float, *, late: bool) -> float:
-        """Return for how many seconds places that are freed at an endpoint are left to others."""
-        turn = zlib.crc32(f"{self._name} {endpoint}".encode()) % _TURNS
-        return pause * _FLUSHES_PER_TURN * (1 + (_TURNS if late else turn))
+    def _backoff_seconds(self, endpoint: str, flush_seconds: float, *, late: bool) -> float:
+        """Return for how many seconds slots freed at an endpoint are left to other daemons."""
+        slot = zlib.crc32(f"{self._name} {endpoint}".encode()) % _BACKOFF_SLOTS
+        return flush_seconds * _FLUSHES_PER_BACKOFF_SLOT * (1 + (_BACKOFF_SLOTS if late else slot))
