--- a/src/brassdrum/gateway/placing/policies.py
+++ b/src/brassdrum/gateway/placing/policies.py
@@ -1,4 +1,4 @@
-"""Choose the endpoints of a request; pure decisions, filed by name."""
+"""Placement policies, registered by name."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 __all__ = ["Policy", "policies"]
 
-# Prompts that one engine reads within this are not split and share engines with their like.
-_LIGHT_MS = 90.0
+# Prompts that one engine prefills within this time are not split, and are packed.
+_SHORT_PROMPT_MS = 90.0
 
 Policy = Callable[
     [PlacementRequest, Sequence[Candidate], EngineModel | None, random.Random], Placement | None
@@ -25,44 +25,44 @@
 
 @policies.register("round_robin")
 def round_robin(
-    need: PlacementRequest,
+    request: PlacementRequest,
     candidates: Sequence[Candidate],
     engine: EngineModel | None,
     rng: random.Random,
 ) -> Placement | None:
-    """Take any endpoint, whatever its load."""
+    """Place on a random endpoint, regardless of load."""
     if not candidates:
         return None
-    return place_on_one(need, rng.choice(list(candidates)), engine, "any")
+    return place_on_one(request, rng.choice(list(candidates)), engine, "any")
 
 
 @policies.register("least_outstanding")
 def least_outstanding(
-    need: PlacementRequest,
+    request: PlacementRequest,
     candidates: Sequence[Candidate],
     engine: EngineModel | None,
     rng: random.Random,
 ) -> Placement | None:
-    """Take the endpoint with the fewest requests in flight."""
+    """Place on the endpoint with the fewest requests in flight."""
     if not candidates:
         return None
     fewest = min(candidates, key=lambda each: (each.suspect, each.load.requests, rng.random()))
-    return place_on_one(need, fewest, engine, "fewest calls")
+    return place_on_one(request, fewest, engine, "fewest calls")
 
 
 @policies.register("least_harm")
 def least_harm(
-    need: PlacementRequest,
+    request: PlacementRequest,
     candidates: Sequence[Candidate],
     engine: EngineModel | None,
     rng: random.Random,
 ) -> Placement | None:
-    """Split long prompts and pack short ones, so that no stream pauses longer than it may."""
-    if engine is None or need.max_pause_ms is None:
-        return least_outstanding(need, candidates, engine, rng)
-    sound = [each for each in candidates if not each.suspect] or list(candidates)
-    if not sound:
+    """Split long prompts and pack short ones to keep streams within their allowed pauses."""
+    if engine is None or request.max_pause_ms is None:
+        return least_outstanding(request, candidates, engine, rng)
+    healthy = [each for each in candidates if not each.suspect] or list(candidates)
+    if not healthy:
         return None
-    if prefill_ms(engine, need.prompt_tokens) <= _LIGHT_MS:
-        return place_short_prompt(need, sound, engine, rng)
-    return place_long_prompt(need, sound, engine, rng)
+    if prefill_ms(engine, request.prompt_tokens) <= _SHORT_PROMPT_MS:
+        return place_short_prompt(request, healthy, engine, rng)
+    return place_long_prompt(request, healthy, engine, rng)
