--- a/src/brassdrum/gateway/placing/packing.py
+++ b/src/brassdrum/gateway/placing/packing.py
@@ -1,4 +1,4 @@
-"""Pack short prompts on few engines, so that the others stay free for long ones."""
+"""Pack short prompts on few engines to keep the others free for long ones."""
 
 from __future__ import annotations
 
@@ -20,54 +20,60 @@
 
 __all__ = ["place_short_prompt"]
 
-# Streams of light prompts are packed up to this share of an engine's slots; 6 of 8 in trials.
-_PACKED_SHARE = 0.75
-# Engines that differ only in how much is packed there are as good as each other.
-_SPREAD_FIELDS = 3
-# Prompts read ahead of an own one, in ms; beyond it another engine is better than packing.
-_PACKED_READING_MS = 110.0
+# The share of an engine's slots up to which short prompts are packed.
+_PACKED_SLOT_SHARE = 0.75
+# The leading fields of a rank that must be equal for engines to count as equivalent.
+_EQUIVALENCE_FIELDS = 3
+# Pending prefill beyond which an engine takes no further packed prompt.
+_PACKED_PREFILL_LIMIT_MS = 110.0
 
 
 def place_short_prompt(
-    need: PlacementRequest, candidates: list[Candidate], engine: EngineModel, rng: random.Random
+    request: PlacementRequest, candidates: list[Candidate], engine: EngineModel, rng: random.Random
 ) -> Placement:
-    """Place a short prompt beside its like, where no stream there pauses too long."""
-    assert need.max_pause_ms is not None
-    cost = prefill_ms(engine, need.prompt_tokens)
-    cap = max(1, math.floor(engine.slots * _PACKED_SHARE))
+    """Place a short prompt with others where no stream exceeds its allowed pause."""
+    assert request.max_pause_ms is not None
+    cost = prefill_ms(engine, request.prompt_tokens)
+    cap = max(1, math.floor(engine.slots * _PACKED_SLOT_SHARE))
 
     def rank(each: Candidate) -> tuple[bool, bool, bool, float, float]:
         load = each.load
-        full = would_queue(need, each, engine)
+        full = would_queue(request, each, engine)
         pause = next_decode_pass_ms(engine, load) + load.pending_prefill_ms + cost
-        packed = load.streams < cap and load.pending_prefill_ms <= _PACKED_READING_MS
-        # Fill engines that light streams share already, so that the others stay free for parts.
-        crowd = (
-            -float(_light_writers(load, need.max_pause_ms)) if packed else load.pending_prefill_ms
+        packable = load.streams < cap and load.pending_prefill_ms <= _PACKED_PREFILL_LIMIT_MS
+        # Prefers engines that already run short prompts, to keep the others free for split ones.
+        packing_key = (
+            -float(_short_prompt_streams(load, request.max_pause_ms))
+            if packable
+            else load.pending_prefill_ms
         )
-        crowded = pause > usable_pause_ms(load, need.max_pause_ms)
-        return full, crowded, not packed, crowd, rng.random()
+        stalls = pause > usable_pause_ms(load, request.max_pause_ms)
+        return full, stalls, not packable, packing_key, rng.random()
 
-    ranked = heapq.nsmallest(_choices(need, candidates, engine), candidates, key=rank)
-    best = rank(ranked[0])[:_SPREAD_FIELDS]
-    chosen = rng.choice([each for each in ranked if rank(each)[:_SPREAD_FIELDS] == best])
-    full, pauses, *_ = rank(chosen)
-    harm = float(need.total_tokens) if full or pauses else 0.0
-    return place_on_one(need, chosen, engine, "packed", harm, full)
+    ranked = heapq.nsmallest(_choice_count(request, candidates, engine), candidates, key=rank)
+    best = rank(ranked[0])[:_EQUIVALENCE_FIELDS]
+    chosen = rng.choice([each for each in ranked if rank(each)[:_EQUIVALENCE_FIELDS] == best])
+    full, stalls, *_ = rank(chosen)
+    interference = float(request.total_tokens) if full or stalls else 0.0
+    return place_on_one(request, chosen, engine, "packed", interference, full)
 
 
-def _choices(need: PlacementRequest, candidates: list[Candidate], engine: EngineModel) -> int:
-    """Return among how many engines to choose: one more for each prompt that is not seen yet.
+def _choice_count(
+    request: PlacementRequest, candidates: list[Candidate], engine: EngineModel
+) -> int:
+    """Return the number of engines to choose from: one more per placement not yet visible.
 
-    All daemons fill the same engine first; with many daemons several prompts are on their way to it
-    before the first of them is known. Their rate follows from the streams in flight.
+    All daemons rank the same engine first, so the choice is spread over one engine more for each
+    prompt that others placed but haven't reported yet, estimated from the streams in flight.
     """
-    assert need.max_pause_ms is not None
-    streams = sum(_light_writers(each.load, need.max_pause_ms) for each in candidates)
-    passes = max(1.0, need.answer_tokens / engine.stride)
-    unseen = streams * need.propagation_ms / (passes * decode_pass_ms(engine, engine.slots, 0))
-    return 1 + round(unseen)
+    assert request.max_pause_ms is not None
+    streams = sum(_short_prompt_streams(each.load, request.max_pause_ms) for each in candidates)
+    passes = max(1.0, request.answer_tokens / engine.stride)
+    invisible = (
+        streams * request.propagation_ms / (passes * decode_pass_ms(engine, engine.slots, 0))
+    )
+    return 1 + round(invisible)
 
 
-def _light_writers(load: EndpointLoad, pause_ms: int) -> int:
+def _short_prompt_streams(load: EndpointLoad, pause_ms: int) -> int:
     return sum(count for pause, count in load.streams_by_max_pause.items() if pause <= pause_ms)
