--- a/src/brassdrum/gateway/placing/placement.py
+++ b/src/brassdrum/gateway/placing/placement.py
@@ -1,4 +1,4 @@
-"""What a request asks for, the endpoints that may take it, and whether to wait for others."""
+"""Placement requests, candidate endpoints and the decision to send, wait or refuse."""
 
 from __future__ import annotations
 
@@ -29,30 +29,30 @@
     "would_queue",
 ]
 
-# A request waits while its first event could come within this part of its objective if half of the
-# engines were free, and once it is late, within this many objectives: callers wait for four.
-_WAIT_SHARE = 0.8
-_LATE_WAIT_SHARE = 2.0
-# The loss to others that a request accepts, as a part of its own tokens: none at first, since
-# waiting costs nothing yet, this part when its objective is near.
-_ACCEPTED_SHARE = 0.5
-# A request waits for a free place while its first event would come within this part of the time
+# A request waits while its best possible first event is within this multiple of its objective; the
+# second bound holds once it is late, and is below the four objectives after which callers leave.
+_WAIT_OBJECTIVES = 0.8
+_LATE_WAIT_OBJECTIVES = 2.0
+# The loss that a request accepts rather than wait, as a share of its own tokens; it rises from zero
+# to this value as the objective approaches.
+_ACCEPTED_LOSS_SHARE = 0.5
+# A request waits for a free slot while its first event is expected within this share of the time
 # after which its caller gives up.
 SLOT_WAIT_PATIENCE_SHARE = 0.75
-# An engine with this much to read takes no further part without stopping its streams for longer
-# than those of long prompts allow.
-_FULL_READING_MS = 700.0
-# The part of an allowed pause that predicted work may fill; the rest covers what is unseen.
-_PAUSE_SHARE = 0.8
-# The part of an engine's memory that predicted use may fill; answers outgrow their estimates.
-_MEMORY_SHARE = 0.92
+# Pending prefill at which an engine counts as fully used: a further part would stall even the
+# streams of long prompts for longer than they allow.
+_FULL_PREFILL_MS = 700.0
+# The share of an allowed pause that predicted work may use; the rest covers unreported work.
+_USABLE_PAUSE_SHARE = 0.8
+# The share of an engine's memory that predicted use may fill; answers may exceed their estimates.
+_USABLE_MEMORY_SHARE = 0.92
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """Hold what a request asks of an endpoint; times in ms, lengths in tokens.
+    """What a request requires of an endpoint; times in ms, lengths in tokens.
 
-    ``unseen_ms`` is for how long what other daemons send is not yet seen here.
+    ``propagation_ms`` is the delay after which other daemons' placements are visible here.
     """
 
     prompt_tokens: int
@@ -65,15 +65,15 @@
 
     @property
     def total_tokens(self) -> int:
-        """Return the memory that the request fills in the end."""
+        """Return the memory in use when the answer is complete."""
         return self.prompt_tokens + self.answer_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """Hold an endpoint that may take the request, with all daemons' work there.
+    """An endpoint that may serve the request, with the load of all daemons there.
 
-    ``claimed`` places are free, and left to the daemons whose streams have just freed them.
+    ``claimed_slots`` are free but left for now to other daemons.
     """
 
     entry: EndpointEntry
@@ -82,13 +82,13 @@
     claimed_slots: int = 0
 
     def is_full(self, engine: EngineModel) -> bool:
-        """Return whether every place is taken or claimed."""
+        """Return whether every slot is in use or claimed."""
         return self.load.streams + self.claimed_slots >= engine.slots
 
 
 @dataclass(frozen=True, slots=True)
 class Helper:
-    """Hold an engine that reads a part of a prompt and the tokens that it stores for it."""
+    """An engine that prefills a part of a prompt and the tokens that it stores of it."""
 
     entry: EndpointEntry
     stored_tokens: int = 0
@@ -96,11 +96,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Hold the chosen endpoint, its helpers and what is predicted of it.
+    """The selected endpoint, its helpers and the predicted outcome.
 
-    ``first_event_ms`` is the time to the first event, ``best_ms`` what it would be with half of
-    the most engines idle. ``harm`` counts the tokens of others' streams that will pause too long
-    or come late, ``late`` those of this request; 0 where there are none.
+    ``first_event_ms`` is the time to the first event, ``best_first_event_ms`` what it would be if
+    half of the largest group of engines were idle. ``interference_tokens`` is the loss of other
+    streams that stall or come late, ``lateness_tokens`` the loss of this request.
     """
 
     entry: EndpointEntry
@@ -115,101 +115,108 @@
 
     @property
     def total_prefill_ms(self) -> float:
-        """Return how long all endpoints together read."""
+        """Return the prefill time summed over all endpoints."""
         return sum(share.prefill_ms for share in self.shares)
 
 
 class Decision(Enum):
-    """Say what becomes of a request, given its best placement now."""
+    """What to do with a request, given its best placement."""
 
     SEND = auto()
     WAIT = auto()
     REFUSE = auto()
 
 
-def decide(need: PlacementRequest, placement: Placement) -> Decision:
-    """Return whether a request is sent now, waits for calmer engines, or is refused at once."""
+def decide(request: PlacementRequest, placement: Placement) -> Decision:
+    """Return whether a request is sent, waits for less loaded engines, or is refused."""
     if placement.endpoint_full:
-        return _judge_full(need, placement)
-    if should_wait(need, placement):
+        return _decide_when_full(request, placement)
+    if should_wait(request, placement):
         return Decision.WAIT
-    return Decision.SEND if is_worth_serving(need, placement) else Decision.REFUSE
+    return Decision.SEND if is_worth_serving(request, placement) else Decision.REFUSE
 
 
-def _judge_full(need: PlacementRequest, placement: Placement) -> Decision:
-    """Return whether a request waits for a free place.
+def _decide_when_full(request: PlacementRequest, placement: Placement) -> Decision:
+    """Return whether a request waits for a free slot.
 
-    A request that queues inside an engine cannot be moved, ordered or refused any more.
+    It waits here because a request queued inside an engine can't be moved, reordered or refused.
     """
-    if need.waited_ms + placement.best_first_event_ms < need.patience_ms * SLOT_WAIT_PATIENCE_SHARE:
+    if (
+        request.waited_ms + placement.best_first_event_ms
+        < request.patience_ms * SLOT_WAIT_PATIENCE_SHARE
+    ):
         return Decision.WAIT
     return Decision.REFUSE
 
 
-def should_wait(need: PlacementRequest, placement: Placement) -> bool:
-    """Return whether a request should wait for other engines instead of taking this placement."""
-    loss = placement.interference_tokens + placement.lateness_tokens
-    if not loss:
+def should_wait(request: PlacementRequest, placement: Placement) -> bool:
+    """Return whether a request should wait for less loaded engines."""
+    loss_tokens = placement.interference_tokens + placement.lateness_tokens
+    if not loss_tokens:
         return False
-    best = (need.waited_ms + placement.best_first_event_ms) / need.objective_ms
-    timely = need.waited_ms + placement.first_event_ms < need.objective_ms
-    if best < _WAIT_SHARE or (timely and best < _LATE_WAIT_SHARE):
-        return loss > need.total_tokens * _ACCEPTED_SHARE * min(1.0, best / _WAIT_SHARE)
-    # One that comes late in any case leaves those alone that can still come in time.
-    return placement.interference_tokens > 0 and best < _LATE_WAIT_SHARE
-
-
-def is_worth_serving(need: PlacementRequest, placement: Placement) -> bool:
-    """Return whether a request earns more than it costs others, and its caller still awaits it."""
-    if need.waited_ms + placement.first_event_ms >= need.patience_ms:
+    best = (request.waited_ms + placement.best_first_event_ms) / request.objective_ms
+    timely = request.waited_ms + placement.first_event_ms < request.objective_ms
+    if best < _WAIT_OBJECTIVES or (timely and best < _LATE_WAIT_OBJECTIVES):
+        return loss_tokens > request.total_tokens * _ACCEPTED_LOSS_SHARE * min(
+            1.0, best / _WAIT_OBJECTIVES
+        )
+    # A request that is late in any case doesn't interfere with streams that can still be in time.
+    return placement.interference_tokens > 0 and best < _LATE_WAIT_OBJECTIVES
+
+
+def is_worth_serving(request: PlacementRequest, placement: Placement) -> bool:
+    """Return whether a request gains more than it costs others before its caller gives up."""
+    if request.waited_ms + placement.first_event_ms >= request.patience_ms:
         return False
-    return placement.interference_tokens <= need.total_tokens - placement.lateness_tokens
+    return placement.interference_tokens <= request.total_tokens - placement.lateness_tokens
 
 
 def fleet_utilization(candidates: Sequence[Candidate], engine: EngineModel) -> float:
-    """Return how much of all engines is taken by streams or by prompts to read, from 0 to 1."""
-    taken = 0.0
+    """Return the share of the engines in use by streams or pending prefill, from 0 to 1."""
+    used = 0.0
     for each in candidates:
-        reading = each.load.pending_prefill_ms / _FULL_READING_MS
-        taken += min(1.0, each.load.streams / engine.slots + reading)
-    return taken / len(candidates)
+        prefill = each.load.pending_prefill_ms / _FULL_PREFILL_MS
+        used += min(1.0, each.load.streams / engine.slots + prefill)
+    return used / len(candidates)
 
 
 def usable_memory(engine: EngineModel) -> int:
     """Return the tokens that predicted use may fill at one engine."""
-    return int(engine.memory * _MEMORY_SHARE)
+    return int(engine.memory * _USABLE_MEMORY_SHARE)
 
 
-def fits_memory(need: PlacementRequest, candidate: Candidate, engine: EngineModel) -> bool:
+def fits_memory(request: PlacementRequest, candidate: Candidate, engine: EngineModel) -> bool:
     """Return whether an engine has memory for the whole request."""
-    return candidate.load.memory + need.total_tokens <= usable_memory(engine)
+    return candidate.load.memory + request.total_tokens <= usable_memory(engine)
 
 
-def would_queue(need: PlacementRequest, candidate: Candidate, engine: EngineModel) -> bool:
-    """Return whether a request would queue at an engine until other work there has ended."""
-    return candidate.is_full(engine) or not fits_memory(need, candidate, engine)
+def would_queue(request: PlacementRequest, candidate: Candidate, engine: EngineModel) -> bool:
+    """Return whether a request would queue at an engine for a slot or memory."""
+    return candidate.is_full(engine) or not fits_memory(request, candidate, engine)
 
 
 def usable_pause_ms(load: EndpointLoad, own_pause_ms: int) -> float:
-    """Return how long a pass may last at an engine, with the streams there and a further one."""
-    tightest = load.shortest_max_pause()
-    pause = own_pause_ms if tightest is None else min(tightest, own_pause_ms)
-    return pause * _PAUSE_SHARE
+    """Return how long a pass may last without stalling the streams there or a new one."""
+    shortest = load.shortest_max_pause()
+    pause = own_pause_ms if shortest is None else min(shortest, own_pause_ms)
+    return pause * _USABLE_PAUSE_SHARE
 
 
 def place_on_one(
-    need: PlacementRequest,
+    request: PlacementRequest,
     chosen: Candidate,
     engine: EngineModel | None,
     reason: str,
-    harm: float = 0.0,
+    interference_tokens: float = 0.0,
     full: bool = False,
 ) -> Placement:
     """Return the placement of a request at one endpoint without helpers."""
-    cost = 0.0 if engine is None else prefill_ms(engine, need.prompt_tokens)
+    cost = 0.0 if engine is None else prefill_ms(engine, request.prompt_tokens)
     wait = chosen.load.pending_prefill_ms + (
         next_decode_pass_ms(engine, chosen.load) if engine is not None else 0.0
     )
-    share = LoadShare(chosen.entry.id, cost, need.total_tokens, need.max_pause_ms)
+    share = LoadShare(chosen.entry.id, cost, request.total_tokens, request.max_pause_ms)
     first = wait + cost
-    return Placement(chosen.entry, (), (share,), first, reason, harm, 0.0, first, full)
+    return Placement(
+        chosen.entry, (), (share,), first, reason, interference_tokens, 0.0, first, full
+    )
