--- a/src/brassdrum/gateway/placing/splitting.py
+++ b/src/brassdrum/gateway/placing/splitting.py
@@ -1,4 +1,4 @@
-"""Split long prompts between engines, and store apart what no engine has memory for."""
+"""Split long prompts between engines, by prefill time and, where needed, by memory."""
 
 from __future__ import annotations
 
@@ -29,149 +29,165 @@
 
 __all__ = ["place_long_prompt"]
 
-# A prompt is split until no part lasts longer: streams beside a part pause for as long.
-_PART_MS = 60.0
-# The platform takes this many helpers beside the engine that receives the request.
-_MOST_HELPERS = 16
-# Groups are chosen among this many engines: the calmest ones; four times the largest group.
-_CONSIDERED = 68
-# Waiting hopes for half of the most engines to be free, not for all of them.
-_HOPED_FACTOR = 2.0
-# How much reading ahead weighs like one stream, in ms, when the engine that writes is chosen.
-_WRITER_MS = 100.0
-# A part of a prompt that is stored apart fills at most this share of an engine's memory: each
-# step of the answer costs the context of the largest part.
-_STORED_SHARE = 0.35
+# Target prefill time of a part; streams at the same engine stall for as long.
+_TARGET_PART_MS = 60.0
+# The platform's limit on helpers beside the engine that receives the request.
+_MAX_HELPERS = 16
+# The number of least loaded engines considered for groups: four times the largest group.
+_MAX_CONSIDERED = 68
+# Waiting is assumed to free half of the largest possible group, hence twice its prefill time.
+_BUSY_FACTOR = 2.0
+# Pending prefill that weighs as much as one stream when the decoding engine is chosen.
+_STREAM_WEIGHT_MS = 100.0
+# The largest share of an engine's memory for a stored part: each decode step costs the context of
+# the largest part.
+_STORED_MEMORY_SHARE = 0.35
 
 
 def place_long_prompt(
-    need: PlacementRequest, candidates: list[Candidate], engine: EngineModel, rng: random.Random
+    request: PlacementRequest, candidates: list[Candidate], engine: EngineModel, rng: random.Random
 ) -> Placement | None:
-    """Place a long prompt on the group of engines that loses the fewest tokens."""
-    views = [_EngineView.of(each, need, engine, rng.random()) for each in candidates]
-    if not any(view.fits for view in views):
-        return _place_apart(
-            need, candidates, engine, {s.candidate.entry.id: s.order for s in views}
+    """Place a long prompt on the group of engines with the smallest loss."""
+    states = [_EngineState.of(each, request, engine, rng.random()) for each in candidates]
+    if not any(state.fits for state in states):
+        return _place_stored_parts(
+            request, candidates, engine, {s.candidate.entry.id: s.tie_breaker for s in states}
         )
-    if len(views) > _CONSIDERED:
-        views = heapq.nsmallest(_CONSIDERED, views, key=lambda view: (not view.fits, view.calm))
-    fewest = max(1, math.ceil(prefill_ms(engine, need.prompt_tokens) / _PART_MS))
-    pressure = fleet_utilization(candidates, engine)
+    if len(states) > _MAX_CONSIDERED:
+        states = heapq.nsmallest(
+            _MAX_CONSIDERED, states, key=lambda state: (not state.fits, state.load_rank)
+        )
+    fewest = max(1, math.ceil(prefill_ms(engine, request.prompt_tokens) / _TARGET_PART_MS))
+    utilization = fleet_utilization(candidates, engine)
     best: _Group | None = None
-    for count in range(1, min(_MOST_HELPERS + 1, len(views)) + 1):
-        group = _group(need, views, count, engine, pressure)
+    for count in range(1, min(_MAX_HELPERS + 1, len(states)) + 1):
+        group = _group(request, states, count, engine, utilization)
         distance = abs(count - fewest)
-        if best is None or (group.loss, distance) < (best.loss, abs(best.count - fewest)):
+        if best is None or (group.loss_tokens, distance) < (
+            best.loss_tokens,
+            abs(best.count - fewest),
+        ):
             best = group
     assert best is not None
-    return _together(need, best, {}, engine)
+    return _group_placement(request, best, {}, engine)
 
 
 @dataclass(frozen=True, slots=True)
-class _EngineView:
-    """Hold what is worked out once for an engine while groups of all sizes are compared."""
+class _EngineState:
+    """Values computed once per engine while groups of all sizes are compared."""
 
     candidate: Candidate
     fits: bool
     full: bool
-    room: float
-    risk: float
-    light: int
-    crowd: float
-    wait: float
-    order: float
+    headroom_ms: float
+    stall_tokens: float
+    tighter_streams: int
+    load_ms: float
+    wait_ms: float
+    tie_breaker: float
 
     @classmethod
     def of(
-        cls, each: Candidate, need: PlacementRequest, engine: EngineModel, order: float
-    ) -> _EngineView:
-        """Look at an engine; one that helps too many has no room."""
+        cls, each: Candidate, request: PlacementRequest, engine: EngineModel, tie_breaker: float
+    ) -> _EngineState:
+        """Evaluate an engine; one with as many helper prefills as slots has no headroom."""
         load = each.load
-        assert need.max_pause_ms is not None
-        room = _room_ms(each, engine, need.max_pause_ms)
+        assert request.max_pause_ms is not None
+        headroom_ms = _headroom_ms(each, engine, request.max_pause_ms)
         return cls(
             candidate=each,
-            fits=fits_memory(need, each, engine),
+            fits=fits_memory(request, each, engine),
             full=each.is_full(engine),
-            room=room if load.helper_prefills < engine.slots else -math.inf,
-            risk=stalled_stream_tokens(load) + 1.0,
-            light=_tighter_writers(load, need),
-            crowd=load.pending_prefill_ms + _WRITER_MS * load.streams,
-            wait=next_decode_pass_ms(engine, load) + load.pending_prefill_ms,
-            order=order,
+            headroom_ms=headroom_ms if load.helper_prefills < engine.slots else -math.inf,
+            stall_tokens=stalled_stream_tokens(load) + 1.0,
+            tighter_streams=_tighter_streams(load, request),
+            load_ms=load.pending_prefill_ms + _STREAM_WEIGHT_MS * load.streams,
+            wait_ms=next_decode_pass_ms(engine, load) + load.pending_prefill_ms,
+            tie_breaker=tie_breaker,
         )
 
     @property
-    def calm(self) -> tuple[float, float, float]:
-        return self.risk, self.crowd, self.order
+    def load_rank(self) -> tuple[float, float, float]:
+        return self.stall_tokens, self.load_ms, self.tie_breaker
 
-    def harm(self, part: float) -> float:
-        """Return the tokens that a part of a length puts at risk here."""
-        paused = 0.0 if self.room >= part else self.risk
-        return paused + delayed_prefill_tokens(self.candidate.load, part)
+    def interference_tokens(self, part: float) -> float:
+        """Return the loss of other requests here if a part of this duration is added."""
+        stalled = 0.0 if self.headroom_ms >= part else self.stall_tokens
+        return stalled + delayed_prefill_tokens(self.candidate.load, part)
 
 
 @dataclass(frozen=True, slots=True)
 class _Group:
-    """Hold engines that read one prompt together, and the tokens that this puts at risk.
-
-    ``harm`` counts other streams, ``late`` the request itself.
-    """
+    """Engines that prefill one prompt together, with the loss of others and of the request."""
 
     head: Candidate
     helpers: list[Candidate]
-    harm: float
-    late: float
+    interference_tokens: float
+    lateness_tokens: float
 
     @property
     def count(self) -> int:
         return len(self.helpers) + 1
 
     @property
-    def loss(self) -> float:
-        return self.harm + self.late
+    def loss_tokens(self) -> float:
+        return self.interference_tokens + self.lateness_tokens
 
 
 def _group(
-    need: PlacementRequest,
-    views: list[_EngineView],
+    request: PlacementRequest,
+    states: list[_EngineState],
     count: int,
     engine: EngineModel,
-    pressure: float,
+    utilization: float,
 ) -> _Group:
-    """Return the engines that are harmed least by one of a number of even parts.
+    """Return the group of ``count`` engines with the least interference from equal parts.
 
-    What a stream is worth is not declared, but its memory is known and grows with its worth.
+    The value of a stream isn't declared; its memory serves as an estimate.
     """
-    part = prefill_ms(engine, need.prompt_tokens) / count
+    part = prefill_ms(engine, request.prompt_tokens) / count
     head = min(
-        (view for view in views if view.fits),
-        key=lambda view: (view.full, view.harm(part), view.light, view.crowd, view.order),
+        (state for state in states if state.fits),
+        key=lambda state: (
+            state.full,
+            state.interference_tokens(part),
+            state.tighter_streams,
+            state.load_ms,
+            state.tie_breaker,
+        ),
     )
     helpers = heapq.nsmallest(
         count - 1,
-        (view for view in views if view is not head),
-        key=lambda view: (view.harm(part), view.candidate.load.pending_prefill_ms, view.order),
+        (state for state in states if state is not head),
+        key=lambda state: (
+            state.interference_tokens(part),
+            state.candidate.load.pending_prefill_ms,
+            state.tie_breaker,
+        ),
     )
     members = [head, *helpers]
-    late = _lateness(need, part + max(view.wait for view in members))
-    harmed = sum(view.harm(part) for view in members) + count * blocked_tokens(part, pressure)
-    return _Group(head.candidate, [view.candidate for view in helpers], harmed, late)
+    late = _request_lateness_tokens(request, part + max(state.wait_ms for state in members))
+    interference = sum(
+        state.interference_tokens(part) for state in members
+    ) + count * blocked_tokens(part, utilization)
+    return _Group(head.candidate, [state.candidate for state in helpers], interference, late)
 
 
-def _room_ms(candidate: Candidate, engine: EngineModel, own_pause: int) -> float:
-    """Return how long a part may last at an engine before a stream there pauses too long."""
+def _headroom_ms(candidate: Candidate, engine: EngineModel, own_max_pause_ms: int) -> float:
+    """Return how long a part may last before a stream there exceeds its allowed pause."""
     load = candidate.load
     return (
-        usable_pause_ms(load, own_pause)
+        usable_pause_ms(load, own_max_pause_ms)
         - next_decode_pass_ms(engine, load)
         - load.pending_prefill_ms
     )
 
 
-def _lateness(need: PlacementRequest, first_event_ms: float) -> float:
-    """Return the tokens that the request itself loses by coming late."""
-    return lateness_tokens(need.total_tokens, (need.waited_ms + first_event_ms) / need.objective_ms)
+def _request_lateness_tokens(request: PlacementRequest, first_event_ms: float) -> float:
+    """Return the loss of the request itself by a late first event."""
+    return lateness_tokens(
+        request.total_tokens, (request.waited_ms + first_event_ms) / request.objective_ms
+    )
 
 
 def _first_event_ms(engine: EngineModel, members: list[Candidate], part: float) -> float:
@@ -180,19 +196,19 @@
     )
 
 
-def _tighter_writers(load: EndpointLoad, need: PlacementRequest) -> int:
-    assert need.max_pause_ms is not None
-    return sum(n for pause, n in load.streams_by_max_pause.items() if pause < need.max_pause_ms)
+def _tighter_streams(load: EndpointLoad, request: PlacementRequest) -> int:
+    assert request.max_pause_ms is not None
+    return sum(n for pause, n in load.streams_by_max_pause.items() if pause < request.max_pause_ms)
 
 
-def _together(
-    need: PlacementRequest, group: _Group, stored_by_id: dict[str, int], engine: EngineModel
+def _group_placement(
+    request: PlacementRequest, group: _Group, stored_by_id: dict[str, int], engine: EngineModel
 ) -> Placement:
-    part = prefill_ms(engine, need.prompt_tokens) / group.count
-    own = need.total_tokens - sum(stored_by_id.values())
-    tokens = need.prompt_tokens // group.count
+    part = prefill_ms(engine, request.prompt_tokens) / group.count
+    own = request.total_tokens - sum(stored_by_id.values())
+    tokens = request.prompt_tokens // group.count
     shares = [
-        LoadShare(group.head.entry.id, part, own, need.max_pause_ms, split_prefill_tokens=tokens)
+        LoadShare(group.head.entry.id, part, own, request.max_pause_ms, split_prefill_tokens=tokens)
     ]
     helpers = []
     for each in group.helpers:
@@ -203,69 +219,74 @@
         helpers.append(Helper(each.entry, stored))
     first = _first_event_ms(engine, [group.head, *group.helpers], part)
     reason = f"{group.count} parts of {part:.0f} ms, {len(stored_by_id)} stored apart"
-    best = prefill_ms(engine, need.prompt_tokens) / (_MOST_HELPERS + 1) * _HOPED_FACTOR
-    best += decode_pass_ms(engine, 1, need.prompt_tokens)
+    best = prefill_ms(engine, request.prompt_tokens) / (_MAX_HELPERS + 1) * _BUSY_FACTOR
+    best += decode_pass_ms(engine, 1, request.prompt_tokens)
     return Placement(
         group.head.entry,
         tuple(helpers),
         tuple(shares),
         first,
         reason,
-        group.harm,
-        group.late,
+        group.interference_tokens,
+        group.lateness_tokens,
         best,
         group.head.is_full(engine),
     )
 
 
-def _place_apart(
-    need: PlacementRequest,
+def _place_stored_parts(
+    request: PlacementRequest,
     candidates: list[Candidate],
     engine: EngineModel,
-    order_by_id: dict[str, float],
+    tie_breaker_by_id: dict[str, float],
 ) -> Placement | None:
-    """Store a prompt that no engine has memory for in parts on several engines."""
+    """Place a prompt that exceeds any engine's free memory in stored parts on several."""
     free_by_id = {each.entry.id: usable_memory(engine) - each.load.memory for each in candidates}
-    by_calm = sorted(
+    by_load = sorted(
         candidates,
         key=lambda each: (
             each.is_full(engine),
             each.load.memory,
             each.load.pending_prefill_ms,
-            order_by_id[each.entry.id],
+            tie_breaker_by_id[each.entry.id],
         ),
     )
-    fewest = math.ceil(need.total_tokens / (engine.memory * _STORED_SHARE))
-    most = min(len(by_calm), _MOST_HELPERS + 1)
-    # Small parts first; larger ones where there are too few engines with memory for these.
+    fewest = math.ceil(request.total_tokens / (engine.memory * _STORED_MEMORY_SHARE))
+    most = min(len(by_load), _MAX_HELPERS + 1)
+    # Prefers many small parts; falls back to larger ones if too few engines have memory for them.
     for count in [*range(fewest, most + 1), *range(min(fewest - 1, most), 1, -1)]:
-        part = math.ceil(need.total_tokens / count)
-        roomy = [each for each in by_calm if free_by_id[each.entry.id] >= part]
-        if len(roomy) < count:
+        part = math.ceil(request.total_tokens / count)
+        with_memory = [each for each in by_load if free_by_id[each.entry.id] >= part]
+        if len(with_memory) < count:
             continue
-        stored = {each.entry.id: part for each in roomy[1:count]}
-        return _together(need, _read_by_more(need, roomy[:count], by_calm, engine), stored, engine)
+        stored = {each.entry.id: part for each in with_memory[1:count]}
+        return _group_placement(
+            request, _add_helpers(request, with_memory[:count], by_load, engine), stored, engine
+        )
     return None
 
 
-def _read_by_more(
-    need: PlacementRequest, holders: list[Candidate], by_calm: list[Candidate], engine: EngineModel
+def _add_helpers(
+    request: PlacementRequest,
+    storing: list[Candidate],
+    by_load: list[Candidate],
+    engine: EngineModel,
 ) -> _Group:
-    """Return the holders of a prompt with as many more readers as do least harm."""
-    assert need.max_pause_ms is not None
-    held = {each.entry.id for each in holders}
-    readers = [each for each in by_calm if each.entry.id not in held]
-    cost = prefill_ms(engine, need.prompt_tokens)
-    pressure = fleet_utilization(by_calm, engine)
-    views = {each.entry.id: _EngineView.of(each, need, engine, 0.0) for each in by_calm}
+    """Return the engines that store a prompt, with the further helpers that minimize the loss."""
+    assert request.max_pause_ms is not None
+    held = {each.entry.id for each in storing}
+    others = [each for each in by_load if each.entry.id not in held]
+    cost = prefill_ms(engine, request.prompt_tokens)
+    utilization = fleet_utilization(by_load, engine)
+    states = {each.entry.id: _EngineState.of(each, request, engine, 0.0) for each in by_load}
     best: _Group | None = None
-    for count in range(len(holders), min(len(by_calm), _MOST_HELPERS + 1) + 1):
-        members = [*holders, *readers[: count - len(holders)]]
+    for count in range(len(storing), min(len(by_load), _MAX_HELPERS + 1) + 1):
+        members = [*storing, *others[: count - len(storing)]]
         part = cost / count
-        harm = sum(views[each.entry.id].harm(part) for each in members)
-        harm += count * blocked_tokens(part, pressure)
-        late = _lateness(need, _first_event_ms(engine, members, part))
-        if best is None or harm + late <= best.loss:
-            best = _Group(members[0], members[1:], harm, late)
+        interference = sum(states[each.entry.id].interference_tokens(part) for each in members)
+        interference += count * blocked_tokens(part, utilization)
+        late = _request_lateness_tokens(request, _first_event_ms(engine, members, part))
+        if best is None or interference + late <= best.loss_tokens:
+            best = _Group(members[0], members[1:], interference, late)
     assert best is not None
     return best
