--- a/src/brassdrum/gateway/placing/load.py
+++ b/src/brassdrum/gateway/placing/load.py
@@ -1,4 +1,4 @@
-"""Keep what all daemons have in flight at each endpoint: the shared picture of load."""
+"""Track the load of all daemons at each endpoint."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 __all__ = ["EndpointLoad", "LoadRow", "LoadShare", "LoadTable", "endpoint_key"]
 
-# Parts take up to this much longer than predicted: passes that are under way end first.
-_PREDICTION_FACTOR = 1.3
-# Each time that a part is looked at after its predicted end, this much of it still counts.
-_UNSURE_SHARE = 0.9
+# Tolerated excess over a predicted prefill: passes that are running finish first.
+_PREFILL_TOLERANCE_FACTOR = 1.3
+# The share of a prefill that still counts at each refresh after its predicted end.
+_OVERDUE_PREFILL_SHARE = 0.9
 
-# Places freed longer ago than this are nobody's claim: the longest turn at 60 daemons is 0.5 s.
-_FREED_KEPT_SECONDS = 0.6
+# Freed slots older than this are open to all daemons; longer than the longest back-off.
+_FREED_SLOT_SECONDS = 0.6
 
 
 @lru_cache(maxsize=4096)
 def endpoint_key(endpoint: str) -> int:
-    """Return the number by which daemons name an endpoint to each other, 4 bytes on the wire.
+    """Return the 4-byte key of an endpoint in load reports.
 
-    In one fleet of 24,000 two of 600 endpoints share a number: each looks as busy as both.
+    On a rare collision each of the two endpoints appears to have the load of both.
     """
     return zlib.crc32(endpoint.encode())
 
 
 @dataclass(slots=True)
 class EndpointLoad:
-    """Sum the work in flight at one endpoint; times in ms, memory in tokens.
+    """The load in flight at one endpoint; times in ms, memory in tokens.
 
-    ``streamed`` is the part of the memory whose streams this endpoint writes itself,
-    ``part_tokens`` the parts that it has yet to read of prompts shared between endpoints.
+    ``decode_memory`` is the part of the memory whose streams this endpoint decodes itself,
+    ``split_prefill_tokens`` its pending parts of prompts that are split between endpoints.
     """
 
     pending_prefill_ms: float = 0.0
@@ -56,7 +56,7 @@
         )
 
     def add(self, other: EndpointLoad, sign: int) -> None:
-        """Add or take away other work; sums may be below nothing until they are complete."""
+        """Add or, with sign -1, subtract a load; partial sums may be negative."""
         self.pending_prefill_ms += sign * other.pending_prefill_ms
         self.memory += sign * other.memory
         self.decode_memory += sign * other.decode_memory
@@ -71,30 +71,30 @@
                 self.streams_by_max_pause.pop(pause, None)
 
     def clamped(self) -> EndpointLoad:
-        """Return the same without what is below nothing: messages cross on the way."""
-        writers = {pause: count for pause, count in self.streams_by_max_pause.items() if count > 0}
+        """Return a copy with negative values, caused by messages that cross, set to zero."""
+        streams = {pause: count for pause, count in self.streams_by_max_pause.items() if count > 0}
         return EndpointLoad(
             max(0.0, self.pending_prefill_ms),
             max(0, self.memory),
             max(0, self.decode_memory),
             max(0, self.requests),
             max(0, self.helper_prefills),
-            writers,
+            streams,
             max(0, self.split_prefill_tokens),
         )
 
     def copy(self) -> EndpointLoad:
-        """Return another object with the same work."""
+        """Return a copy that shares no mutable state."""
         return replace(self, streams_by_max_pause=dict(self.streams_by_max_pause))
 
     def is_empty(self) -> bool:
-        """Return whether no work is in flight."""
+        """Return whether nothing is in flight."""
         return not (self.requests or self.helper_prefills or self.memory)
 
 
 @dataclass(frozen=True, slots=True)
 class LoadRow:
-    """Hold the work of one or more daemons at one endpoint, named by its key."""
+    """The load of one or more daemons at the endpoint with a key."""
 
     key: int
     load: EndpointLoad
@@ -108,14 +108,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _FreedSlots:
-    at: float
+    freed_at: float
     slots: int
     own: bool
 
 
 @dataclass(frozen=True, slots=True)
 class LoadShare:
-    """Hold what one request takes at one endpoint; a helper reads a part and may store one."""
+    """The load of one request at one endpoint; a helper prefills and may store a part."""
 
     endpoint: str
     prefill_ms: float
@@ -124,23 +124,23 @@
     is_helper: bool = False
     split_prefill_tokens: int = 0
 
-    def as_load(self, *, reading: bool) -> EndpointLoad:
-        """Return the share as load, before or after the prompt was read."""
-        read = self.prefill_ms if reading else 0.0
-        part = self.split_prefill_tokens if reading else 0
+    def as_load(self, *, prefilling: bool) -> EndpointLoad:
+        """Return the share as a load, during or after the prefill."""
+        prefill = self.prefill_ms if prefilling else 0.0
+        part = self.split_prefill_tokens if prefilling else 0
         if self.is_helper:
-            return EndpointLoad(read, self.memory, 0, 0, int(reading), {}, part)
-        writers = {} if self.max_pause_ms is None else {self.max_pause_ms: 1}
-        return EndpointLoad(read, self.memory, self.memory, 1, 0, writers, part)
+            return EndpointLoad(prefill, self.memory, 0, 0, int(prefilling), {}, part)
+        streams = {} if self.max_pause_ms is None else {self.max_pause_ms: 1}
+        return EndpointLoad(prefill, self.memory, self.memory, 1, 0, streams, part)
 
 
 class LoadTable:
-    """Add up own work and what other daemons tell of theirs.
+    """Sum the load of this daemon and the loads that publishers report.
 
-    Who tells is a publisher: a daemon that speaks for itself, or for a group that this daemon may
-    belong to. ``acknowledge`` says what of the own work the own group's publisher has counted, so
-    that it does not count twice. ``changed`` holds the keys of own rows that changed since somebody
-    cleared it, ``told`` those of others' rows.
+    A publisher is a daemon that reports for itself or for a group that may include this daemon.
+    ``acknowledge`` records which own load the group's publisher includes, so that it isn't counted
+    twice. ``changed_own_keys`` and ``changed_remote_keys`` collect the keys of changed rows until
+    the caller clears them.
     """
 
     def __init__(self) -> None:
@@ -155,96 +155,98 @@
         self.changed_remote_keys: set[int] = set()
 
     def total(self, endpoint: str) -> EndpointLoad:
-        """Return the work of all daemons at an endpoint; not to be changed."""
+        """Return the load of all daemons at an endpoint; callers must not modify it."""
         return self.total_by_key(endpoint_key(endpoint))
 
     def total_by_key(self, key: int) -> EndpointLoad:
-        """Return the work of all daemons at the endpoint with a key; not to be changed."""
+        """Return the load of all daemons at a key; callers must not modify it."""
         total = self._total_by_key.get(key)
         if total is None:
             total = self._total_by_key[key] = self._sum(key)
         return total
 
     def slots_freed_since(self, endpoint: str, since: float, *, own: bool) -> int:
-        """Return how many places others' streams, and own ones too, have freed since a time."""
+        """Return the slots freed since a time by other daemons, with ``own`` also by this one."""
         freed = self._freed_by_key.get(endpoint_key(endpoint))
         if freed is None:
             return 0
-        return sum(each.slots for each in freed if each.at > since and (own or not each.own))
+        return sum(each.slots for each in freed if each.freed_at > since and (own or not each.own))
 
     def start(self, request: str, shares: Iterable[LoadShare], now: float, first_ms: float) -> None:
-        """Note an own request that is sent, with the predicted time to its first event."""
+        """Record a request that is sent, with the predicted time to its first event."""
         self._shares_by_request[request] = tuple(shares)
-        self._predicted_by_request[request] = now + first_ms / 1000 * _PREDICTION_FACTOR
+        self._predicted_by_request[request] = now + first_ms / 1000 * _PREFILL_TOLERANCE_FACTOR
         for share in self._shares_by_request[request]:
-            self._change(share.endpoint, share.as_load(reading=True), 1)
+            self._change_own(share.endpoint, share.as_load(prefilling=True), 1)
 
     def refresh(self, now: float) -> None:
-        """Take off what own requests have read by now, as far as predicted.
+        """Reduce the pending prefill of own requests by their predicted progress.
 
-        An engine reads a part last before the first event. Without this a part of 3 s counts in
-        full until its end, and others avoid engines that are nearly free.
+        Otherwise a long prefill counts in full until its end, and engines that are nearly free are
+        avoided. An engine prefills a part just before the first event.
         """
         for request, predicted in self._predicted_by_request.items():
             left_ms = (predicted - now) * 1000
             shares = []
             for share in self._shares_by_request[request]:
-                reading = max(share.prefill_ms * _UNSURE_SHARE, min(share.prefill_ms, left_ms))
+                remaining_ms = max(
+                    share.prefill_ms * _OVERDUE_PREFILL_SHARE, min(share.prefill_ms, left_ms)
+                )
                 key = endpoint_key(share.endpoint)
-                self._own_by_key[key].pending_prefill_ms -= share.prefill_ms - reading
+                self._own_by_key[key].pending_prefill_ms -= share.prefill_ms - remaining_ms
                 self._total_by_key.pop(key, None)
-                shares.append(replace(share, prefill_ms=reading))
+                shares.append(replace(share, prefill_ms=remaining_ms))
             self._shares_by_request[request] = tuple(shares)
 
     def prefill_finished(self, request: str) -> None:
-        """Note that a request writes now: its prompt is read and its helpers are free."""
+        """Record that a request decodes: its prefill is complete and its helpers are free."""
         shares = self._shares_by_request.get(request, ())
         for share in shares:
-            self._change(share.endpoint, share.as_load(reading=True), -1)
-            self._change(share.endpoint, share.as_load(reading=False), 1)
+            self._change_own(share.endpoint, share.as_load(prefilling=True), -1)
+            self._change_own(share.endpoint, share.as_load(prefilling=False), 1)
         self._predicted_by_request.pop(request, None)
 
     def end(self, request: str, now: float) -> None:
-        """Note that an own request ended."""
-        reading = self._predicted_by_request.pop(request, None) is not None
+        """Record that a request ended."""
+        prefilling = self._predicted_by_request.pop(request, None) is not None
         for share in self._shares_by_request.pop(request, ()):
-            self._change(share.endpoint, share.as_load(reading=reading), -1)
+            self._change_own(share.endpoint, share.as_load(prefilling=prefilling), -1)
             if share.max_pause_ms is not None:
-                self._note_freed(endpoint_key(share.endpoint), 1, now, own=True)
+                self._record_freed(endpoint_key(share.endpoint), 1, now, own=True)
 
     def own_row(self, key: int) -> LoadRow:
-        """Return a copy of the own work at one endpoint."""
+        """Return a copy of the own load at one endpoint."""
         return LoadRow(key, self._own_by_key[key].clamped())
 
     def own_rows(self) -> Iterator[LoadRow]:
-        """Return copies of all own work that is in flight."""
+        """Yield a copy of the own load at each endpoint that has any."""
         for key, load in list(self._own_by_key.items()):
             if load.is_empty():
                 continue
             yield LoadRow(key, load.clamped())
 
     def prefilling_keys(self) -> set[int]:
-        """Return the keys of endpoints that read for own requests; their rows change with time."""
+        """Return the keys of endpoints with pending own prefills, whose rows change over time."""
         shares = (self._shares_by_request[request] for request in self._predicted_by_request)
         return {endpoint_key(share.endpoint) for each in shares for share in each}
 
     def acknowledge(self, rows: Iterable[LoadRow]) -> dict[int, int]:
-        """Take what of the own work the own group's publisher counts from now on.
+        """Record the own load that the group's publisher now includes.
 
-        Return by how many own streams its rows have fallen by that.
+        Return by key how many fewer own streams it includes than before.
         """
-        fallen = {}
+        own_freed = {}
         for row in rows:
             earlier = self._acknowledged_by_key.pop(row.key, None)
             before = 0 if earlier is None else earlier.streams
-            fallen[row.key] = before - row.load.streams
+            own_freed[row.key] = before - row.load.streams
             if not row.load.is_empty():
                 self._acknowledged_by_key[row.key] = row.load
             self._total_by_key.pop(row.key, None)
-        return fallen
+        return own_freed
 
     def clear_acknowledged(self) -> None:
-        """Take that no publisher counts the own work any more."""
+        """Record that no publisher includes the own load."""
         for key in self._acknowledged_by_key:
             self._total_by_key.pop(key, None)
         self._acknowledged_by_key = {}
@@ -255,11 +257,11 @@
         rows: Iterable[LoadRow],
         now: float,
         sequence: int,
-        fallen: Mapping[int, int] | None = None,
+        own_freed: Mapping[int, int] | None = None,
     ) -> None:
-        """Take rows that a publisher tells; the sequence keeps late messages from undoing newer.
+        """Merge rows of a publisher; rows with an older sequence number are ignored.
 
-        ``fallen`` says by how many own streams its rows have fallen: nobody else freed these.
+        ``own_freed`` gives by key how many of the ended streams were this daemon's.
         """
         known = self._rows_by_publisher.setdefault(publisher, {})
         for row in rows:
@@ -268,35 +270,35 @@
                 continue
             known[row.key] = _ReceivedRow(sequence, row.load)
             if earlier is None:
-                self._retell(row.key)
+                self._mark_remote_change(row.key)
                 continue
             if earlier.load is row.load or earlier.load == row.load:
                 continue
-            self._retell(row.key)
-            own = 0 if fallen is None else fallen.get(row.key, 0)
-            self._note_freed(row.key, earlier.load.streams - row.load.streams - own, now)
+            self._mark_remote_change(row.key)
+            own = 0 if own_freed is None else own_freed.get(row.key, 0)
+            self._record_freed(row.key, earlier.load.streams - row.load.streams - own, now)
 
     def drop_unlisted(
         self, publisher: str, listed: set[int], part: int, parts: int, sequence: int
     ) -> None:
-        """Drop the rows of one part of a publisher's keys that it does not list any more."""
+        """Drop the rows in one part of a publisher's keys that are missing from its list."""
         known = self._rows_by_publisher.get(publisher, {})
         for key in [key for key in known if key % parts == part and key not in listed]:
             if known[key].sequence <= sequence:
                 del known[key]
-                self._retell(key)
+                self._mark_remote_change(key)
 
     def drop_publisher(self, publisher: str) -> None:
-        """Drop what a publisher told."""
+        """Drop all rows of a publisher."""
         for key in self._rows_by_publisher.pop(publisher, {}):
-            self._retell(key)
+            self._mark_remote_change(key)
 
     def drop_other_publishers(self, publisher: str) -> None:
-        """Drop what all told but one."""
+        """Drop the rows of all publishers but one."""
         for other in [name for name in self._rows_by_publisher if name != publisher]:
             self.drop_publisher(other)
 
-    def _retell(self, key: int) -> None:
+    def _mark_remote_change(self, key: int) -> None:
         self._total_by_key.pop(key, None)
         self.changed_remote_keys.add(key)
 
@@ -314,15 +316,15 @@
             total.add(acknowledged, -1)
         return total.clamped()
 
-    def _note_freed(self, key: int, places: int, now: float, *, own: bool = False) -> None:
-        if places <= 0:
+    def _record_freed(self, key: int, slots: int, now: float, *, own: bool = False) -> None:
+        if slots <= 0:
             return
         freed = self._freed_by_key[key]
-        freed.append(_FreedSlots(now, places, own))
-        while freed[0].at < now - _FREED_KEPT_SECONDS:
+        freed.append(_FreedSlots(now, slots, own))
+        while freed[0].freed_at < now - _FREED_SLOT_SECONDS:
             freed.popleft()
 
-    def _change(self, endpoint: str, load: EndpointLoad, sign: int) -> None:
+    def _change_own(self, endpoint: str, load: EndpointLoad, sign: int) -> None:
         key = endpoint_key(endpoint)
         self._own_by_key[key].add(load, sign)
         self._total_by_key.pop(key, None)
