--- a/src/brassdrum/gateway/placing/reservations.py
+++ b/src/brassdrum/gateway/placing/reservations.py
@@ -1,4 +1,4 @@
-"""Hold memory at several endpoints for one prompt: all or none, renewed, always given back."""
+"""Reserve memory for one prompt at several endpoints atomically, with renewal and release."""
 
 from __future__ import annotations
 
@@ -12,32 +12,31 @@
 __all__ = ["MemoryHold", "ReservationManager"]
 
 _logger = logging.getLogger(__name__)
-# An order takes a few ms; one without an answer may be carried out seconds later.
-_ORDER_SECONDS = 0.3
-# A hold is renewed three times in its span, so that one lost renewal does no harm.
-_RENEWALS_PER_HOLD = 3.0
-# Before each renewal the endpoint that uses the memory is asked for a sign of life. After this many
-# questions in a row without an answer it counts as gone: at most 1.7 s after its last answer, with
-# holds of 3.2 s, so that memory is free again within the 4 s that the platform allows.
-_MOST_UNANSWERED = 2
+# Timeout of a reservation call; one that times out may still take effect later.
+_CALL_TIMEOUT_SECONDS = 0.3
+# Renewals per hold time; more than one, so that a lost renewal doesn't end the hold.
+_RENEWALS_PER_HOLD_TIME = 3.0
+# Consecutive unanswered probes after which the consumer of the memory counts as gone. It is probed
+# before each renewal; memory has to be free again within the 4 s that the platform allows.
+_MAX_UNANSWERED_PROBES = 2
 _GRANTED = 200
 _NO_ANSWER = 0
-# A release is repeated this often; after that the hold's own end gives the memory back.
+# Attempts to release; after that the reservation expires at the endpoint.
 _RELEASE_ATTEMPTS = 3
 
 
 class _ReservationCall:
-    """Send one order or question and tell the status of its answer, 0 without one."""
+    """One HTTP call to an endpoint; reports the status, 0 if there is no answer."""
 
-    def __init__(self, loop: EventLoop, pool: EndpointPool, done: Callable[[int], None]) -> None:
+    def __init__(self, loop: EventLoop, pool: EndpointPool, on_done: Callable[[int], None]) -> None:
         self._pool = pool
-        self._done: Callable[[int], None] | None = done
+        self._on_done: Callable[[int], None] | None = on_done
         self._status = _NO_ANSWER
         self._call: EndpointCall | None = None
-        self._timer = loop.call_later(_ORDER_SECONDS, self._late)
+        self._timer = loop.call_later(_CALL_TIMEOUT_SECONDS, self._timed_out)
 
     def post(self, address: str, path: str, body: bytes) -> None:
-        """Send an order."""
+        """Send a POST request with a JSON body."""
         headers = [
             (b"Host", address.encode()),
             (b"Content-Type", b"application/json"),
@@ -47,96 +46,99 @@
         self._call = self._pool.call(address, self, request)
 
     def get(self, address: str, path: str) -> None:
-        """Send a question."""
+        """Send a GET request."""
         request = OutgoingRequest(b"GET", path.encode(), [(b"Host", address.encode())], b"")
         self._call = self._pool.call(address, self, request)
 
     def began(self, status: int, _headers: Headers) -> None:
-        """Take the start of the answer."""
+        """Record the status of the answer."""
         self._status = status
 
     def data(self, _content: bytes) -> None:
-        """Leave the body: the status says all."""
+        """Ignore the body; only the status matters."""
 
     def answered(self) -> None:
-        """Take a whole answer."""
+        """Report the status of a complete answer."""
         self._finish(self._status)
 
     def broken(self, how: Break, detail: str) -> None:
-        """Take a broken connection as no answer."""
-        _logger.info("order not answered", extra={"how": how.name, "detail": detail})
+        """Report a broken connection as no answer."""
+        _logger.info("reservation call not answered", extra={"how": how.name, "detail": detail})
         self._finish(_NO_ANSWER)
 
-    def _late(self) -> None:
+    def _timed_out(self) -> None:
         if self._call is not None:
             self._call.cancel()
         self._finish(_NO_ANSWER)
 
     def _finish(self, status: int) -> None:
         self._timer.cancel()
-        done, self._done = self._done, None
-        if done is not None:
-            done(status)
+        on_done, self._on_done = self._on_done, None
+        if on_done is not None:
+            on_done(status)
 
 
 class MemoryHold:
-    """Keep the memory of one prompt until it is released."""
+    """The reserved memory of one prompt, renewed until it is released."""
 
     def __init__(
         self,
         manager: ReservationManager,
         reservations: tuple[Reservation, ...],
-        user: str,
-        done: Callable[[bool], None],
-        on_user_gone: Callable[[], None],
+        consumer: str,
+        on_done: Callable[[bool], None],
+        on_consumer_lost: Callable[[], None],
     ) -> None:
         self.reservations = reservations
         self._manager = manager
-        self._user = user
-        self._on_user_gone = on_user_gone
+        self._consumer = consumer
+        self._on_consumer_lost = on_consumer_lost
         self._unanswered = 0
-        self._done: Callable[[bool], None] | None = done
-        self._waiting = len(reservations)
+        self._on_done: Callable[[bool], None] | None = on_done
+        self._pending = len(reservations)
         self._refused = False
         self._released = False
         self._timer: Timer | None = None
 
     def acquire(self) -> None:
-        """Ask all endpoints at once; none of them waits, so holders cannot block each other."""
+        """Send all reservations at once.
+
+        Endpoints refuse instead of waiting, so concurrent holds can't deadlock.
+        """
         for reservation in self.reservations:
-            self._manager.reserve(reservation, self._answered)
-        self._plan_renewal()
+            self._manager.reserve(reservation, self._reserved)
+        self._schedule_renewal()
 
     def release(self) -> None:
-        """Give all memory back."""
+        """Release all memory."""
         if self._released:
             return
         self._released = True
-        self._done = None
+        self._on_done = None
         if self._timer is not None:
             self._timer.cancel()
         for reservation in self.reservations:
             self._manager.release_one(reservation, _RELEASE_ATTEMPTS)
 
-    def _answered(self, granted: bool) -> None:
-        self._waiting -= 1
+    def _reserved(self, granted: bool) -> None:
+        self._pending -= 1
         self._refused = self._refused or not granted
-        if self._waiting or self._done is None:
+        if self._pending or self._on_done is None:
             return
-        done, refused = self._done, self._refused
+        on_done, refused = self._on_done, self._refused
         if refused:
             self.release()
-        done(not refused)
+        on_done(not refused)
 
-    def _plan_renewal(self) -> None:
-        seconds = self._manager.hold_seconds / _RENEWALS_PER_HOLD
-        self._timer = self._manager.loop.call_later(seconds, self._ask)
+    def _schedule_renewal(self) -> None:
+        seconds = self._manager.hold_seconds / _RENEWALS_PER_HOLD_TIME
+        self._timer = self._manager.loop.call_later(seconds, self._probe)
 
-    def _ask(self) -> None:
-        """Ask the endpoint that uses the memory for a sign of life."""
-        self._manager.probe(self._user, self._heard)
+    def _probe(self) -> None:
+        """Probe the endpoint that uses the memory."""
+        self._manager.probe(self._consumer, self._probed)
 
-    def _heard(self, answered: bool) -> None:
+    def _probed(self, answered: bool) -> None:
         if self._released:
             return
         if answered:
@@ -144,73 +146,73 @@
             self._renew()
             return
         self._unanswered += 1
-        if self._unanswered < _MOST_UNANSWERED:
-            self._ask()
+        if self._unanswered < _MAX_UNANSWERED_PROBES:
+            self._probe()
             return
-        # Nobody uses the memory any more, or nobody here would hear of it.
+        # The consumer is gone or unreachable, so the memory is of no more use.
         self.release()
-        self._on_user_gone()
+        self._on_consumer_lost()
 
     def _renew(self) -> None:
         for reservation in self.reservations:
             self._manager.reserve(reservation, _ignore)
-        self._plan_renewal()
+        self._schedule_renewal()
 
 
 class ReservationManager:
-    """Send the orders of all holds of this daemon."""
+    """Send the reservation calls of all holds of this daemon."""
 
     def __init__(
         self, loop: EventLoop, pool: EndpointPool, dialect: Dialect, hold_seconds: float
     ) -> None:
         self.loop = loop
         self.hold_seconds = hold_seconds
-        self.orders = 0
+        self.calls_sent = 0
         self._pool = pool
         self._dialect = dialect
 
     def acquire(
         self,
         reservations: tuple[Reservation, ...],
-        user: str,
-        done: Callable[[bool], None],
-        on_user_gone: Callable[[], None],
+        consumer: str,
+        on_done: Callable[[bool], None],
+        on_consumer_lost: Callable[[], None],
     ) -> MemoryHold:
-        """Ask for memory at several endpoints; tell whether all of them granted it.
+        """Reserve memory at several endpoints and report whether all of them granted it.
 
-        ``user`` is the address of the endpoint that uses it. When that gives no sign of life, all
-        is given back and ``on_user_gone`` is called.
+        ``consumer`` is the address of the endpoint that uses the memory. If it stops answering
+        probes, all memory is released and ``on_consumer_lost`` is called.
         """
-        hold = MemoryHold(self, reservations, user, done, on_user_gone)
+        hold = MemoryHold(self, reservations, consumer, on_done, on_consumer_lost)
         hold.acquire()
         return hold
 
-    def reserve(self, reservation: Reservation, done: Callable[[bool], None]) -> None:
-        """Ask one endpoint to hold memory, or to hold it longer."""
+    def reserve(self, reservation: Reservation, on_done: Callable[[bool], None]) -> None:
+        """Reserve memory at one endpoint or renew the reservation."""
         body = self._dialect.reserve(
             reservation.ticket, reservation.tokens, self.hold_seconds, wait=False
         )
-        self._order(reservation, body, done)
+        self._send(reservation, body, on_done)
 
     def release_one(self, reservation: Reservation, attempts: int) -> None:
-        """Tell one endpoint that the memory is free, again if it does not answer."""
+        """Release memory at one endpoint; repeated on failure up to ``attempts`` times in all."""
 
         def repeat(granted: bool) -> None:
             if not granted and attempts > 1:
                 self.release_one(reservation, attempts - 1)
 
-        self._order(reservation, self._dialect.release(reservation.ticket), repeat)
+        self._send(reservation, self._dialect.release(reservation.ticket), repeat)
 
-    def probe(self, address: str, done: Callable[[bool], None]) -> None:
-        """Tell whether an endpoint answers at all."""
-        order = _ReservationCall(self.loop, self._pool, lambda status: done(status != _NO_ANSWER))
-        order.get(address, self._dialect.report_path)
+    def probe(self, address: str, on_done: Callable[[bool], None]) -> None:
+        """Report whether an endpoint answers."""
+        call = _ReservationCall(self.loop, self._pool, lambda status: on_done(status != _NO_ANSWER))
+        call.get(address, self._dialect.report_path)
 
-    def _order(self, reservation: Reservation, body: bytes, done: Callable[[bool], None]) -> None:
-        self.orders += 1
-        order = _ReservationCall(self.loop, self._pool, lambda status: done(status == _GRANTED))
-        order.post(reservation.address, self._dialect.order_path, body)
+    def _send(self, reservation: Reservation, body: bytes, on_done: Callable[[bool], None]) -> None:
+        self.calls_sent += 1
+        call = _ReservationCall(self.loop, self._pool, lambda status: on_done(status == _GRANTED))
+        call.post(reservation.address, self._dialect.order_path, body)
 
 
 def _ignore(_granted: bool) -> None:
-    """Leave a refused renewal: the endpoint cuts the request, which is then sent elsewhere."""
+    """Ignore a refused renewal; the endpoint then ends the request, which is retried elsewhere."""
