--- a/src/brassdrum/bench/load/daemon.py
+++ b/src/brassdrum/bench/load/daemon.py
@@ -26,7 +26,7 @@
 from brassdrum.gateway.net.upstream import OutgoingRequest
 from brassdrum.gateway.peering.peer_messages import PeerBelief
 from brassdrum.gateway.peering.peers import Peers
-from brassdrum.gateway.placing.endpoint_selector import EndpointSelector
+from brassdrum.gateway.placing.choosing import EndpointSelector
 from brassdrum.gateway.placing.load import LoadTable
 from brassdrum.gateway.placing.placement import Placement, PlacementRequest
 from brassdrum.gateway.placing.policies import Policy
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -39,7 +39,7 @@
 from brassdrum.gateway.net.upstream import EndpointPool
 from brassdrum.gateway.pages import Page, PageResponder, ReadinessResponder
 from brassdrum.gateway.peering.peers import Peers
-from brassdrum.gateway.placing.endpoint_selector import EndpointSelector
+from brassdrum.gateway.placing.choosing import EndpointSelector
 from brassdrum.gateway.placing.load import LoadTable
 from brassdrum.gateway.placing.placement import Placement, PlacementRequest
 from brassdrum.gateway.placing.policies import policies
--- a/src/brassdrum/gateway/placing/splitting.py
+++ b/src/brassdrum/gateway/placing/splitting.py
@@ -9,6 +9,12 @@
 
 from brassdrum.gateway.model import EngineModel
 from brassdrum.gateway.placing.costs import decode_pass_ms, next_decode_pass_ms, prefill_ms
+from brassdrum.gateway.placing.harm import (
+    blocked_tokens,
+    delayed_prefill_tokens,
+    lateness_tokens,
+    stalled_stream_tokens,
+)
 from brassdrum.gateway.placing.load import EndpointLoad, LoadShare
 from brassdrum.gateway.placing.placement import (
     Candidate,
@@ -20,12 +26,6 @@
     usable_memory,
     usable_pause_ms,
 )
-from brassdrum.gateway.placing.token_loss import (
-    blocked_tokens,
-    delayed_prefill_tokens,
-    lateness_tokens,
-    stalled_stream_tokens,
-)
 
 __all__ = ["place_long_prompt"]
 
