--- a/features/gateway_decisions.feature
+++ b/features/gateway_decisions.feature
@@ -1,61 +1,61 @@
-Feature: The gateway's decisions, without any socket
+Feature: The gateway's decisions without network access
 
   Scenario: Short prompts share engines, so that others stay free for long ones
     Given 4 idle engines
     When 5 short prompts are placed one after the other
-    Then they lie on 2 engines at the most
+    Then they are placed on at most 2 engines
 
-  Scenario: A long prompt is read by several engines and spares those with short streams
+  Scenario: A long prompt is split between engines and avoids those with short streams
     Given 8 idle engines
     And a short stream on engine 1
     When a prompt of 180000 tokens is placed
-    Then it is read by more than 2 engines
+    Then it is prefilled by more than 2 engines
     And engine 1 is not among them
 
-  Scenario: Four callers who wait count for more than one with a few more tokens
+  Scenario: Four short streams outweigh one stream with slightly more tokens
     Given 2 idle engines
     And 4 short streams on engine 1
     And a stream of 30000 tokens on engine 2
     When a prompt of 100000 tokens is placed
     Then engine 1 is not among them
 
-  Scenario: A prompt in the middle is read in parts that no short stream feels
+  Scenario: A medium prompt is split into parts that do not stall short streams
     Given 9 idle engines
     And a short stream on engine 1
     When a prompt of 45000 tokens is placed
     Then no part lasts longer than 60 ms
-    And nothing is harmed
+    And there is no interference
 
-  Scenario: A long prompt that would harm every engine's streams says so
+  Scenario: A long prompt that stalls streams on every engine reports interference
     Given 3 idle engines
     And 6 short streams on every engine
     When a prompt of 300000 tokens is placed
-    Then something is harmed
+    Then there is interference
 
-  Scenario: The time already waited counts when lateness is weighed
+  Scenario: The time already waited counts towards lateness
     Given 6 idle engines
     When a prompt of 300000 tokens is placed after 2500 ms
-    Then it is called late
+    Then it is predicted to be late
 
-  Scenario Outline: A request waits where that costs less than going on
-    Given a placement that puts <harm> tokens of others and <late> of its own at risk
+  Scenario Outline: A request waits where that costs less than being sent
+    Given a placement with a loss of <others> tokens to others and <own> to itself
     Then a prompt of 100000 tokens that waited <waited> ms <decision>
 
     Examples:
-      | harm   | late  | waited | decision |
-      | 0      | 0     | 0      | goes on  |
-      | 2000   | 0     | 0      | goes on  |
+      | others | own   | waited | decision |
+      | 0      | 0     | 0      | is sent  |
+      | 2000   | 0     | 0      | is sent  |
       | 10000  | 0     | 0      | waits    |
-      | 10000  | 0     | 1000   | goes on  |
+      | 10000  | 0     | 1000   | is sent  |
       | 90000  | 0     | 1900   | waits    |
-      | 10     | 0     | 2300   | goes on  |
-      | 40000  | 0     | 2300   | goes on  |
+      | 10     | 0     | 2300   | is sent  |
+      | 40000  | 0     | 2300   | is sent  |
       | 90000  | 0     | 2300   | waits    |
-      | 90000  | 0     | 6500   | goes on  |
+      | 90000  | 0     | 6500   | is sent  |
       | 10     | 75000 | 2900   | waits    |
-      | 0      | 75000 | 2900   | goes on  |
+      | 0      | 75000 | 2900   | is sent  |
 
-  Scenario: A prompt that comes too late in any case does not stop a small busy fleet
+  Scenario: A prompt that is late in any case does not stall a small busy fleet
     Given 11 idle engines
     And 6 short streams on every engine
     When a prompt of 920000 tokens is placed
@@ -65,7 +65,7 @@
     When a prompt of 200000 tokens is placed
     Then it is worth serving
 
-  Scenario: The same prompts are served while nobody else needs the fleet
+  Scenario: The same prompts are served on an idle fleet
     Given 11 idle engines
     When a prompt of 920000 tokens is placed
     Then it is worth serving
@@ -78,13 +78,13 @@
     Then every engine stores less than its memory
     And the stored parts make up the prompt
 
-  Scenario: Engines that fail requests are avoided while others are sound
+  Scenario: Engines that fail requests are avoided while others are healthy
     Given 2 idle engines
     And engine 1 is suspect
     When a short prompt is placed
-    Then engine 2 gets it
+    Then it is placed on engine 2
 
-  Scenario Outline: Every policy of the registry places a request, and none where there is no endpoint
+  Scenario Outline: Every registered policy places a request, or nothing if there is no endpoint
     Given 2 idle engines
     Then policy "<policy>" places a short prompt and refuses without engines
 
@@ -97,63 +97,63 @@
   Scenario Outline: A stopping daemon takes only what it can finish
     Given a planned stop with 8 seconds of grace
     And a stream of <tokens> tokens with an objective of <objective> seconds
-    When it comes <seconds> seconds after the stop began
-    Then the stopping daemon has it <fate>
+    When it arrives <seconds> seconds after the stop began
+    Then it is <fate> by the stopping daemon
 
-    Examples: Until callers could know, idle engines would have to do
+    Examples: Before callers can know of the stop, idle engines are assumed
       | tokens | objective | seconds | fate    |
       | 3264   | 0.3       | 0.5     | taken   |
       | 3264   | 0.3       | 2.7     | taken   |
       | 1600   | 3         | 0.5     | taken   |
       | 1600   | 3         | 2.5     | refused |
 
-    Examples: Then busy engines have to do
+    Examples: After that, busy engines are assumed
       | tokens | objective | seconds | fate    |
       | 3264   | 0.3       | 3.2     | refused |
       | 400    | 0.3       | 3.2     | taken   |
       | 400    | 0.3       | 6.5     | refused |
 
-  Scenario Outline: During a planned stop a request waits for calmer engines while it ends in time
+  Scenario Outline: During a planned stop a request waits for less loaded engines if it can still end in time
     Given a planned stop with 8 seconds of grace
     And a stream of 800 tokens with an objective of 1.5 seconds
-    When it comes <seconds> seconds after the stop began
-    Then the stream <waits> for calmer engines
+    When it arrives <seconds> seconds after the stop began
+    Then the stream <waits> for less loaded engines
 
     Examples:
       | seconds | waits        |
       | 1.0     | may wait     |
       | 4.5     | may not wait |
 
-  Scenario: Repeats stay within the ratio and this daemon's part of the slack
+  Scenario: Retries stay within the ratio and this daemon's share of the slack
     Given a retry budget of ratio 0.2 and slack 30 over 10 seconds
-    When 100 requests and as many repeats as allowed are counted among 3 daemons
-    Then at most 30 repeats were allowed
+    When 100 requests and as many retries as allowed are recorded with 3 daemons
+    Then at most 30 retries were allowed
     And after 11 seconds only the slack is left
 
-  Scenario: A single failure is no suspicion, a share of failures or a dead connection is
+  Scenario: A single failure does not make an endpoint suspect, repeated ones or a broken connection do
     When an endpoint fails once among successes
     Then it is not suspect
     When it fails 6 times in a row
     Then it is suspect
-    And it is sound again later
+    And it is healthy again later
     When its connection fails
     Then it is suspect at once
 
-  Scenario: A peer's word about an endpoint counts for a moment and is not passed on
-    When a peer says that an endpoint fails
-    Then it is suspect but not named to others
-    And it is sound again later
+  Scenario: A peer's word about an endpoint expires soon and is not passed on
+    When a peer reports that an endpoint fails
+    Then it is suspect but not reported to others
+    And it is healthy again later
 
-  Scenario: Work in flight adds up over daemons and goes with a silent one
-    When two peers and this daemon work at an endpoint
+  Scenario: Load is summed over daemons and dropped with a silent one
+    When two peers and this daemon have load at an endpoint
     Then its total is the sum of the three
-    When one peer falls silent
-    Then its work is dropped
-    When this daemon's prompt is read
-    Then nothing is left to read but the peer's part
+    When one peer stops reporting
+    Then its load is dropped
+    When this daemon's prefill finishes
+    Then only the peer's pending prefill is left
 
-  Scenario: What peers tell each other survives the way, and garbage does not pass
-    Then each kind of peer message comes back as it was sent
+  Scenario: Peer messages are decoded as encoded and malformed ones are refused
+    Then each kind of peer message is decoded as it was encoded
     And these are refused as peer messages: "", "[]", "{}", "[2,1,1,1,1,1,1]", "null", "[1", "\x05", "\x05\x09", "\x05\x02\x01", "\x04\x01"
 
   Scenario: A new daemon learns from a peer's snapshot what that peer knows by word only
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the gateway's pure decisions about requests."""
+"""Steps on the gateway's decisions that need no network."""
 
 import random
 import re
@@ -42,17 +42,17 @@
 SHORT_LOAD = EndpointLoad(0.0, 6_300, 6_300, 1, 0, {250: 1})
 
 
-def long_need(tokens, waited=0.0):
+def long_request(tokens, waited=0.0):
     return PlacementRequest(tokens, 600, 3000.0, 1000, waited)
 
 
-def place(context, need, policy="least_harm"):
+def place(context, request, policy="least_harm"):
     candidates = [
         Candidate(engine_entry(number), load, number in context.suspect)
         for number, load in context.loads.items()
     ]
-    context.need = need
-    context.placement = policies.get(policy)(need, candidates, ENGINE, random.Random(3))
+    context.request = request
+    context.placement = policies.get(policy)(request, candidates, ENGINE, random.Random(3))
     return context.placement
 
 
@@ -106,31 +106,31 @@
 
 @when("a prompt of {tokens:d} tokens is placed")
 def step_place_long(context, tokens):
-    place(context, long_need(tokens))
+    place(context, long_request(tokens))
 
 
 @when("a prompt of {tokens:d} tokens is placed after {waited:d} ms")
 def step_place_late(context, tokens, waited):
-    place(context, long_need(tokens, float(waited)))
+    place(context, long_request(tokens, float(waited)))
 
 
-@then("they lie on {most:d} engines at the most")
+@then("they are placed on at most {most:d} engines")
 def step_packed(context, most):
     assert len(context.chosen) <= most, context.chosen
 
 
-def readers(context):
+def prefilling_engines(context):
     return [context.placement.entry, *(each.entry for each in context.placement.helpers)]
 
 
-@then("it is read by more than {count:d} engines")
+@then("it is prefilled by more than {count:d} engines")
 def step_readers(context, count):
-    assert len(readers(context)) > count
+    assert len(prefilling_engines(context)) > count
 
 
 @then("engine {number:d} is not among them")
 def step_spared(context, number):
-    assert engine_entry(number).id not in {each.id for each in readers(context)}
+    assert engine_entry(number).id not in {each.id for each in prefilling_engines(context)}
 
 
 @then("no part lasts longer than {most:d} ms")
@@ -138,25 +138,25 @@
     assert all(share.prefill_ms <= most for share in context.placement.shares)
 
 
-@then("nothing is harmed")
+@then("there is no interference")
 def step_no_harm(context):
     assert context.placement.interference_tokens == 0
 
 
-@then("something is harmed")
+@then("there is interference")
 def step_harm(context):
     assert context.placement.interference_tokens > 0
 
 
-@then("it is called late")
+@then("it is predicted to be late")
 def step_late(context):
     assert context.placement.lateness_tokens > 0
 
 
-@given("a placement that puts {harm:d} tokens of others and {late:d} of its own at risk")
-def step_at_risk(context, harm, late):
+@given("a placement with a loss of {others:d} tokens to others and {own:d} to itself")
+def step_at_risk(context, others, own):
     context.placement = Placement(
-        engine_entry(1), (), (), 500.0, "", float(harm), float(late), 400.0
+        engine_entry(1), (), (), 500.0, "", float(others), float(own), 400.0
     )
 
 
@@ -168,12 +168,12 @@
 
 @then("it is worth serving")
 def step_worth(context):
-    assert is_worth_serving(context.need, context.placement), context.placement
+    assert is_worth_serving(context.request, context.placement), context.placement
 
 
 @then("it is not worth serving")
 def step_not_worth(context):
-    assert not is_worth_serving(context.need, context.placement), context.placement
+    assert not is_worth_serving(context.request, context.placement), context.placement
 
 
 @then("every engine stores less than its memory")
@@ -184,13 +184,13 @@
 @then("the stored parts make up the prompt")
 def step_whole(context):
     stored = sum(share.memory for share in context.placement.shares)
-    assert stored >= context.need.total_tokens
-    named = {each.entry.id: each.stored_tokens for each in context.placement.helpers}
+    assert stored >= context.request.total_tokens
+    stored_by_id = {each.entry.id: each.stored_tokens for each in context.placement.helpers}
     for share in context.placement.shares[1:]:
-        assert share.memory == named[share.endpoint]
+        assert share.memory == stored_by_id[share.endpoint]
 
 
-@then("engine {number:d} gets it")
+@then("it is placed on engine {number:d}")
 def step_gets(context, number):
     assert context.placement.entry.id == engine_entry(number).id
 
@@ -214,18 +214,18 @@
     context.duration = declared_duration(streams, request, ENGINE)
 
 
-@when("it comes {seconds:g} seconds after the stop began")
+@when("it arrives {seconds:g} seconds after the stop began")
 def step_comes(context, seconds):
     context.now = context.stop.began_at + seconds
 
 
-@then("the stopping daemon has it {fate}")
+@then("it is {fate} by the stopping daemon")
 def step_fate(context, fate):
     taken = context.stop.takes(context.now, context.duration)
     assert taken == (fate == "taken"), context.duration
 
 
-@then("the stream {waits} for calmer engines")
+@then("the stream {waits} for less loaded engines")
 def step_waits(context, waits):
     allowed = context.stop.may_wait(context.now, context.duration)
     assert allowed == (waits == "may wait"), context.duration
@@ -236,7 +236,7 @@
     context.budget = SharedRetryBudget(ratio, slack, window)
 
 
-@when("{count:d} requests and as many repeats as allowed are counted among {daemons:d} daemons")
+@when("{count:d} requests and as many retries as allowed are recorded with {daemons:d} daemons")
 def step_repeats(context, count, daemons):
     for number in range(count):
         context.budget.request(number / count)
@@ -245,7 +245,7 @@
         context.allowed += 1
 
 
-@then("at most {most:d} repeats were allowed")
+@then("at most {most:d} retries were allowed")
 def step_allowed(context, most):
     assert 0 < context.allowed <= most, context.allowed
 
@@ -274,7 +274,7 @@
     assert context.suspicions.failed("a", context.now, certain=True)
 
 
-@when("a peer says that an endpoint fails")
+@when("a peer reports that an endpoint fails")
 def step_peer_says(context):
     context.suspicions = Suspicions()
     context.now = 1.0
@@ -292,58 +292,58 @@
     assert context.suspicions.suspect("a", context.now)
 
 
-@then("it is suspect but not named to others")
+@then("it is suspect but not reported to others")
 def step_not_named(context):
     assert context.suspicions.suspect("a", context.now)
     assert context.suspicions.words(context.now) == []
 
 
-@then("it is sound again later")
+@then("it is healthy again later")
 def step_sound_later(context):
     context.now += 10.0
     assert not context.suspicions.suspect("a", context.now)
 
 
-@when("two peers and this daemon work at an endpoint")
+@when("two peers and this daemon have load at an endpoint")
 def step_three(context):
-    context.loads_seen = LoadTable()
-    context.loads_seen.start("own", [LoadShare("a", 100.0, 5000, 250)], 0.0, 200.0)
+    context.load_table = LoadTable()
+    context.load_table.start("own", [LoadShare("a", 100.0, 5000, 250)], 0.0, 200.0)
     row = LoadRow(endpoint_key("a"), EndpointLoad(50.0, 7000, 7000, 1, 0, {1000: 1}))
-    context.loads_seen.merge("peer-1", [row], 0.0, 1)
-    context.loads_seen.merge("peer-2", [row], 1.5, 1)
+    context.load_table.merge("peer-1", [row], 0.0, 1)
+    context.load_table.merge("peer-2", [row], 1.5, 1)
 
 
 @then("its total is the sum of the three")
 def step_sum(context):
-    total = context.loads_seen.total("a")
+    total = context.load_table.total("a")
     assert (total.pending_prefill_ms, total.memory, total.requests) == (200.0, 19000, 3)
     assert total.streams == 3
     assert total.shortest_max_pause() == 250
 
 
-@when("one peer falls silent")
+@when("one peer stops reporting")
 def step_silent_peer(context):
-    context.loads_seen.drop_publisher("peer-1")
+    context.load_table.drop_publisher("peer-1")
 
 
-@then("its work is dropped")
+@then("its load is dropped")
 def step_dropped(context):
-    assert context.loads_seen.total("a").memory == 12000
+    assert context.load_table.total("a").memory == 12000
 
 
-@when("this daemon's prompt is read")
+@when("this daemon's prefill finishes")
 def step_prompt_read(context):
-    context.loads_seen.prefill_finished("own")
+    context.load_table.prefill_finished("own")
 
 
-@then("nothing is left to read but the peer's part")
+@then("only the peer's pending prefill is left")
 def step_left(context):
-    assert context.loads_seen.total("a").pending_prefill_ms == 50.0
-    context.loads_seen.end("own", 0.0)
-    assert context.loads_seen.total("a").requests == 1
+    assert context.load_table.total("a").pending_prefill_ms == 50.0
+    context.load_table.end("own", 0.0)
+    assert context.load_table.total("a").requests == 1
 
 
-@then("each kind of peer message comes back as it was sent")
+@then("each kind of peer message is decoded as it was encoded")
 def step_message(context):
     rows = (
         LoadRow(7, EndpointLoad(50.0, 6400, 6400, 4, 0, {250: 1, 1000: 3})),
