--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -1,4 +1,4 @@
-"""Steps on decisions under load, played on simulated engines with and without one of them."""
+"""Steps that compare placement policies under simulated load."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -17,77 +17,77 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """Hold a policy, what is changed at each daemon, and what is replaced for the play."""
+    """A policy, an adjustment of each daemon and the patches for one simulation."""
 
     policy: Callable = _LEAST_HARM
     adjust: Callable[[SimulatedDaemon], None] = lambda _: None
     replaced: tuple = ()
 
 
-variants: Registry[Callable[[], Variant]] = Registry("variant of the decisions")
+variants: Registry[Callable[[], Variant]] = Registry("policy variant")
 
 
-@variants.register("all decisions")
-def as_it_is():
-    """Play the product as it is."""
+@variants.register("the default policy")
+def default_policy():
+    """Use the default policy unchanged."""
     return Variant()
 
 
-@variants.register("full engines taken as any others")
-def without_places():
-    """Send to engines whose places are taken."""
+@variants.register("full engines treated as available")
+def without_slot_limit():
+    """Send to engines without a free slot."""
 
-    def policy(need, candidates, engine, rng):
-        placement = _LEAST_HARM(need, [_unclaimed(each) for each in candidates], engine, rng)
+    def policy(request, candidates, engine, rng):
+        placement = _LEAST_HARM(request, [_unclaimed(each) for each in candidates], engine, rng)
         return replace(placement, endpoint_full=False)
 
     return Variant(policy)
 
 
-@variants.register("freed places open to all at once")
-def without_turns():
-    """Let every daemon take every free place at once."""
+@variants.register("freed slots open to all daemons at once")
+def without_backoff():
+    """Let every daemon use freed slots without back-off."""
 
-    def policy(need, candidates, engine, rng):
-        return _LEAST_HARM(need, [_unclaimed(each) for each in candidates], engine, rng)
+    def policy(request, candidates, engine, rng):
+        return _LEAST_HARM(request, [_unclaimed(each) for each in candidates], engine, rng)
 
     return Variant(policy)
 
 
-@variants.register("the fullest engine packed by all")
+@variants.register("short prompts packed on the fullest engine only")
 def without_spread():
-    """Choose the fullest engine that has room, whatever others may be sending there."""
+    """Ignore the placements of other daemons that are not visible yet."""
 
-    def policy(need, candidates, engine, rng):
-        return _LEAST_HARM(replace(need, propagation_ms=0.0), candidates, engine, rng)
+    def policy(request, candidates, engine, rng):
+        return _LEAST_HARM(replace(request, propagation_ms=0.0), candidates, engine, rng)
 
     return Variant(policy)
 
 
-@variants.register("prompts that are read taken as no loss")
-def without_sparing():
-    """Forget which prompts an engine has yet to read."""
+@variants.register("delayed prefills not counted as a loss")
+def without_delay_loss():
+    """Ignore the split prefills pending at an engine."""
 
-    def policy(need, candidates, engine, rng):
+    def policy(request, candidates, engine, rng):
         blind = [
             replace(each, load=replace(each.load, split_prefill_tokens=0)) for each in candidates
         ]
-        return _LEAST_HARM(need, blind, engine, rng)
+        return _LEAST_HARM(request, blind, engine, rng)
 
     return Variant(policy)
 
 
-@variants.register("silence given up at once")
-def without_explanation():
-    """Give a silent engine up whatever it has to read."""
+@variants.register("silent engines given up at once")
+def without_silence_tolerance():
+    """Give up a silent engine regardless of its pending prefill."""
     return Variant(
         replaced=(("brassdrum.gateway.request.silence_watch.explained_silence", lambda *_: None),)
     )
 
 
-@variants.register("late requests kept waiting")
-def with_late_kept():
-    """Let late requests wait as long as their callers may."""
+@variants.register("late requests kept in the queue")
+def with_late_queued():
+    """Keep late requests queued until their callers give up."""
 
     def adjust(daemon):
         daemon.line.keeps_late = lambda _waiter: True
@@ -95,9 +95,9 @@
     return Variant(adjust=adjust)
 
 
-@variants.register("the fewest requests in flight")
-def fewest():
-    """Choose by the number of requests alone."""
+@variants.register("the least_outstanding policy")
+def least_outstanding():
+    """Place by the number of requests in flight only."""
     return Variant(policies.get("least_outstanding"))
 
 
@@ -110,16 +110,16 @@
     return sum(figure(result) for result in context.results_by_variant[variant])
 
 
-def pair(context, figure):
-    """Return the mean of a figure with all decisions and without the one that is left out."""
-    other = next(name for name in context.results_by_variant if name != "all decisions")
+def means(context, figure):
+    """Return the mean of a figure with the default policy and with the variant."""
+    other = next(name for name in context.results_by_variant if name != "the default policy")
     return tuple(
-        total(context, name, figure) / len(context.seeds) for name in ("all decisions", other)
+        total(context, name, figure) / len(context.seeds) for name in ("the default policy", other)
     )
 
 
-def held(result):
-    """Return the seconds that callers waited for nothing."""
+def unanswered_seconds(result):
+    """Return the seconds that callers waited without getting an answer."""
     return sum(sum(count.held) for count in result.by_kind.values())
 
 
@@ -136,12 +136,12 @@
     context.seeds = range(1, count + 1)
 
 
-@given("{daemons:d} daemons before {engines:d} engines")
+@given("{daemons:d} daemons and {engines:d} engines")
 def step_fleet(context, daemons, engines):
     context.load |= {"daemons": daemons, "engines": engines}
 
 
-@when("it is played with {name}")
+@when("the load is simulated with {name}")
 def step_play(context, name):
     variant = variants.get(name)()
     patches = [mock.patch(target, value) for target, value in variant.replaced]
@@ -157,42 +157,42 @@
             patch.stop()
 
 
-@then("at least {share:g} more of the short prompts are in time with all decisions")
+@then("the share of short prompts in time is at least {share:g} higher with the default policy")
 def step_short(context, share):
-    on, off = pair(context, lambda result: result.by_kind["short"].share)
+    on, off = means(context, lambda result: result.by_kind["short"].share)
     assert on >= off + share, (on, off)
 
 
 @then(
-    "first events come within twice their prediction for {share:g} with all decisions"
-    " and for less without"
+    "{share:g} of first events come within twice their prediction with the default policy"
+    " and fewer without"
 )
 def step_predicted(context, share):
-    on, off = pair(context, lambda result: result.predicted_share())
+    on, off = means(context, lambda result: result.predicted_share())
     assert on >= share > off, (on, off)
 
 
-@then("at least {times:g} times as many requests find their engine full without the decision")
+@then("at least {times:g} times as many requests queue inside an engine without the default policy")
 def step_queued(context, times):
-    on, off = pair(context, lambda result: result.queued)
+    on, off = means(context, lambda result: result.queued)
     assert off >= times * on, (on, off)
 
 
-@then("the callers get at least {share:g} more of the worth with all decisions")
+@then("the share of the value served is at least {share:g} higher with the default policy")
 def step_worth(context, share):
-    on, off = pair(context, lambda result: result.worth)
+    on, off = means(context, lambda result: result.worth)
     assert on >= off + share, (on, off)
 
 
-@then("fewer requests are sent again with all decisions")
+@then("fewer requests are retried with the default policy")
 def step_repeats(context):
-    on, off = pair(context, lambda result: result.repeats)
+    on, off = means(context, lambda result: result.repeats)
     assert on < off, (on, off)
 
 
-@then("at most {share:g} of the callers leave with all decisions")
+@then("at most {share:g} of the callers give up with the default policy")
 def step_left(context, share):
-    on, _ = pair(
+    on, _ = means(
         context,
         lambda result: sum(count.left for count in result.by_kind.values())
         / sum(count.asked for count in result.by_kind.values()),
@@ -200,17 +200,17 @@
     assert on <= share, on
 
 
-@then("callers wait at most half as long in vain with all decisions")
+@then("callers without an answer wait at most half as long with the default policy")
 def step_held(context):
-    on, off = pair(context, held)
+    on, off = means(context, unanswered_seconds)
     assert on <= off / 2, (on, off)
 
 
-@then("{share:g} of the worth is earned and at most {most:d} in 1000 requests are sent again")
+@then("{share:g} of the value is served and at most {most:d} in 1000 requests are retried")
 def step_usual(context, share, most):
-    results = context.results_by_variant["all decisions"]
+    results = context.results_by_variant["the default policy"]
     asked = sum(count.asked for result in results for count in result.by_kind.values())
-    worth = total(context, "all decisions", lambda result: result.worth) / len(results)
-    repeats = total(context, "all decisions", lambda result: result.repeats)
+    worth = total(context, "the default policy", lambda result: result.worth) / len(results)
+    repeats = total(context, "the default policy", lambda result: result.repeats)
     assert worth >= share, worth
     assert repeats <= asked * most / 1000, (repeats, asked)
