--- a/features/steps/peer_group_steps.py
+++ b/features/steps/peer_group_steps.py
@@ -16,7 +16,7 @@
 from brassdrum.gateway.peering.peer_messages import PeerStatus
 from brassdrum.gateway.peering.peers import Peers
 from brassdrum.gateway.peering.spreading import fanout_branches
-from brassdrum.gateway.placing.load import LoadTable, Share
+from brassdrum.gateway.placing.load import LoadShare, LoadTable
 
 ENGINE_COUNT = 20
 REQUEST_TOKENS = 6400
@@ -57,7 +57,7 @@
 
     def begin(self, name, engine):
         """Start a request at an engine."""
-        share = Share(engine, 0.0, REQUEST_TOKENS, 250)
+        share = LoadShare(engine, 0.0, REQUEST_TOKENS, 250)
         self.table.start(name, [share], self.loop.now(), 10.0)
         self.requests[name] = engine
         self.peers.load_changed()
@@ -103,7 +103,7 @@
         """Return the number of requests at each engine as counted by one daemon."""
         names = {f"engine-{number}" for number in range(ENGINE_COUNT)} | set(self.expected_counts())
         totals = {name: daemon.table.total(name) for name in names}
-        return Counter({name: load.writers for name, load in totals.items() if load.writers})
+        return Counter({name: load.streams for name, load in totals.items() if load.streams})
 
     def right(self):
         """Return whether all daemons count the requests in flight and their memory."""
--- a/src/brassdrum/gateway/peering/peers.py
+++ b/src/brassdrum/gateway/peering/peers.py
@@ -121,7 +121,7 @@
         self._directory = PeerDirectory(own)
         self._aggregators = Aggregators()
         self._rows_for_groups = RowPublisher(lambda key: self._group.total(key))
-        self._rows_for_members = RowPublisher(table.total_of)
+        self._rows_for_members = RowPublisher(table.total_by_key)
         self._group = Group(table.own_row, self._rows_for_groups.mark_changed)
         self._pending_reports = PendingReports(table.own_row)
         self._probed_until: dict[str, float] = {}
@@ -228,7 +228,7 @@
         self._table.refresh(now)
         self._choose_aggregator()
         self._probe_missing(now)
-        self._table.changed |= self._table.reading_keys()
+        self._table.changed_own_keys |= self._table.prefilling_keys()
         if self.is_aggregator:
             self._collect_own_changes()
             self._publish(heartbeat=True)
@@ -245,7 +245,7 @@
             _HEARTBEAT_SECONDS if self._grouped else _HEARTBEAT_SECONDS * self._flush_scale()
         )
         for sender in self._aggregators.expire(now, _EXPIRY_HEARTBEATS * heartbeat):
-            self._table.forget(sender.name)
+            self._table.drop_publisher(sender.name)
             _log_peer_lost(sender)
 
     def _remember_lost_host(self, host: str) -> None:
@@ -256,7 +256,7 @@
     def _drop_member(self, host: str) -> None:
         sender = self._group.remove(host)
         if sender is not None:
-            self._table.forget(sender.name)
+            self._table.drop_publisher(sender.name)
             _log_peer_lost(sender)
 
     # Aggregator selection.
@@ -296,10 +296,10 @@
         self._aggregator_state = _AggregatorState(
             now, now, daemon_count=self._aggregator_state.daemon_count
         )
-        self._table.unacknowledge()
+        self._table.clear_acknowledged()
         self._pending_reports.reset()
         self._group.includes_own_load = self.is_aggregator
-        self._table.changed.update(row.key for row in self._table.own_rows())
+        self._table.changed_own_keys.update(row.key for row in self._table.own_rows())
         log_events.SPEAKER_CHOSEN.write(
             _logger,
             speaker=aggregator,
@@ -311,7 +311,7 @@
             self._send_report()
             return
         if previous is not None:
-            self._table.forget_others("")
+            self._table.drop_other_publishers("")
         self._collect_own_changes()
         self._publish(heartbeat=True)
 
@@ -331,7 +331,7 @@
         for host in self._group.hosts:
             sender = self._group.remove(host)
             if sender is not None:
-                self._table.forget(sender.name)
+                self._table.drop_publisher(sender.name)
 
     def _step_down_digest(self, successor: str | None) -> Digest:
         found = None if successor is None else self._directory.address(successor)
@@ -357,7 +357,7 @@
     # Sending.
 
     def _collect_own_changes(self) -> None:
-        changed, self._table.changed = self._table.changed, set()
+        changed, self._table.changed_own_keys = self._table.changed_own_keys, set()
         self._rows_for_groups.mark_changed(changed)
         self._rows_for_members.mark_changed(changed)
 
@@ -378,7 +378,7 @@
         aggregator = self._report_target
         if aggregator is None:
             return
-        changed, self._table.changed = self._table.changed, set()
+        changed, self._table.changed_own_keys = self._table.changed_own_keys, set()
         sender = self._next_sender()
         rows = self._pending_reports.rows_to_send(changed, sender.sequence)
         self._send(aggregator, Report(sender, self._group_status(), rows))
@@ -401,7 +401,7 @@
         data = encode_message(own)
         for host in [*self._publish_targets(), *(self._discovery_targets() if heartbeat else ())]:
             self._send_bytes(host, data)
-        changed, self._table.told = self._table.told, set()
+        changed, self._table.changed_remote_keys = self._table.changed_remote_keys, set()
         self._rows_for_members.mark_changed(changed)
         if self._group.hosts:
             rows = self._rows_for_members.take_changed(include_partition=True)
@@ -573,10 +573,10 @@
         applied = self._group.apply_report(report, now)
         if applied is None:
             if report.leaves_group:
-                self._table.forget(sender.name)
+                self._table.drop_publisher(sender.name)
             return
         if applied.first:
-            self._table.forget(sender.name)
+            self._table.drop_publisher(sender.name)
             log_events.PEER_FOUND.write(_logger, peer=sender.name, host=host)
         self._table.merge(sender.name, report.rows, now, sender.sequence)
         self._on_knowledge(host, report.status)
@@ -619,7 +619,7 @@
         host = sender.address.host
         self._directory.add_live(digest.known_daemons, now)
         if self.is_aggregator and self._aggregators.remove(host) is not None:
-            self._table.forget(sender.name)
+            self._table.drop_publisher(sender.name)
         if sender.leaving:
             self._directory.remove(host)
         if host == self._aggregator_host:
@@ -634,7 +634,7 @@
         if taken is None:
             return
         if taken.first or taken.restarted:
-            self._table.forget(sender.name)
+            self._table.drop_publisher(sender.name)
             log_events.PEER_FOUND.write(_logger, peer=sender.name, host=host)
         self._merge_rows(digest, now)
         self._on_notices(host, digest.status)
@@ -655,7 +655,7 @@
         number = (sender.incarnation, sender.sequence)
         if sender.address.host != self._report_target or number <= state.message_number:
             return
-        self._table.forget_others(sender.name)
+        self._table.drop_other_publishers(sender.name)
         state.heard_at = now
         state.message_number = number
         state.daemon_count = digest.daemon_count
@@ -682,9 +682,9 @@
 
     def _restart_reports(self) -> None:
         """Report all rows again, since the aggregator does not list this daemon."""
-        self._table.unacknowledge()
+        self._table.clear_acknowledged()
         self._pending_reports.reset()
-        self._table.changed.update(row.key for row in self._table.own_rows())
+        self._table.changed_own_keys.update(row.key for row in self._table.own_rows())
         self._schedule_report()
 
     def _merge_rows(self, digest: Digest, now: float, fallen: dict[int, int] | None = None) -> None:
@@ -692,7 +692,7 @@
         self._table.merge(sender.name, digest.rows, now, sender.sequence, fallen)
         if digest.partition_count:
             listed = {row.key for row in digest.rows}
-            self._table.keep_listed(
+            self._table.drop_unlisted(
                 sender.name, listed, digest.partition, digest.partition_count, sender.sequence
             )
 
--- a/src/brassdrum/gateway/peering/row_teller.py
+++ b/src/brassdrum/gateway/peering/row_teller.py
@@ -58,7 +58,7 @@
     def _load_by_key(self, keys: set[int]) -> dict[int, EndpointLoad]:
         load_by_key = {key: self._total_of(key) for key in keys}
         for key, load in load_by_key.items():
-            if load.empty():
+            if load.is_empty():
                 self._nonempty_keys.discard(key)
             else:
                 self._nonempty_keys.add(key)
--- a/src/brassdrum/gateway/peering/wire.py
+++ b/src/brassdrum/gateway/peering/wire.py
@@ -93,18 +93,18 @@
         """Append a load row; fields with their implied value are omitted."""
         load = row.load
         memory = _token_units(load.memory)
-        streamed = _token_units(load.streamed)
-        writers = sorted(load.writers_by_pause.items())
+        streamed = _token_units(load.decode_memory)
+        writers = sorted(load.streams_by_max_pause.items())
         stream_count = sum(number for _, number in writers)
         values = []
         flags = 0
         for flag, value, implied in (
-            (_READING, min(_MAX_UINT16, round(load.reading_ms)), 0),
+            (_READING, min(_MAX_UINT16, round(load.pending_prefill_ms)), 0),
             (_MEMORY, memory, 0),
             (_STREAMED, streamed, memory),
-            (_CALLS, min(_MAX_UINT8, load.calls), stream_count),
-            (_HELPING, min(_MAX_UINT8, load.helping), 0),
-            (_PART, _token_units(load.part_tokens), 0),
+            (_CALLS, min(_MAX_UINT8, load.requests), stream_count),
+            (_HELPING, min(_MAX_UINT8, load.helper_prefills), 0),
+            (_PART, _token_units(load.split_prefill_tokens), 0),
         ):
             if value != implied:
                 flags |= flag
--- a/src/brassdrum/gateway/placing/placement.py
+++ b/src/brassdrum/gateway/placing/placement.py
@@ -1,4 +1,4 @@
-"""What a request asks for, the endpoints that may take it, and whether to wait for others."""
+"""Placement requests, candidate endpoints and the decision to send, wait or refuse."""
 
 from __future__ import annotations
 
@@ -8,208 +8,215 @@
 from enum import Enum, auto
 
 from brassdrum.gateway.model import EndpointEntry, EngineModel
-from brassdrum.gateway.placing.costs import next_pass_ms, prefill_ms
-from brassdrum.gateway.placing.load import EndpointLoad, Share
+from brassdrum.gateway.placing.costs import next_decode_pass_ms, prefill_ms
+from brassdrum.gateway.placing.load import EndpointLoad, LoadShare
 
 __all__ = [
-    "FULL_WAIT_SHARE",
+    "SLOT_WAIT_PATIENCE_SHARE",
     "Candidate",
+    "Decision",
     "Helper",
-    "Need",
     "Placement",
-    "Verdict",
-    "allowed_pause_ms",
-    "better_later",
-    "fits",
-    "judge",
-    "no_place",
-    "placed_alone",
-    "pressure_of",
+    "PlacementRequest",
+    "decide",
+    "fits_memory",
+    "fleet_utilization",
+    "is_worth_serving",
+    "place_on_one",
+    "should_wait",
     "usable_memory",
-    "worth_serving",
+    "usable_pause_ms",
+    "would_queue",
 ]
 
-# A request waits while its first event could come within this part of its objective if half of the
-# engines were free, and once it is late, within this many objectives: callers wait for four.
-_WAIT_SHARE = 0.8
-_LATE_WAIT_SHARE = 2.0
-# The loss to others that a request accepts, as a part of its own tokens: none at first, since
-# waiting costs nothing yet, this part when its objective is near.
-_ACCEPTED_SHARE = 0.5
-# A request waits for a free place while its first event would come within this part of the time
+# A request waits while its best possible first event is within this multiple of its objective; the
+# second bound holds once it is late, and is below the four objectives after which callers leave.
+_WAIT_OBJECTIVES = 0.8
+_LATE_WAIT_OBJECTIVES = 2.0
+# The loss that a request accepts rather than wait, as a share of its own tokens; it rises from zero
+# to this value as the objective approaches.
+_ACCEPTED_LOSS_SHARE = 0.5
+# A request waits for a free slot while its first event is expected within this share of the time
 # after which its caller gives up.
-FULL_WAIT_SHARE = 0.75
-# An engine with this much to read takes no further part without stopping its streams for longer
-# than those of long prompts allow.
-_FULL_READING_MS = 700.0
-# The part of an allowed pause that predicted work may fill; the rest covers what is unseen.
-_PAUSE_SHARE = 0.8
-# The part of an engine's memory that predicted use may fill; answers outgrow their estimates.
-_MEMORY_SHARE = 0.92
+SLOT_WAIT_PATIENCE_SHARE = 0.75
+# Pending prefill at which an engine counts as fully used: a further part would stall even the
+# streams of long prompts for longer than they allow.
+_FULL_PREFILL_MS = 700.0
+# The share of an allowed pause that predicted work may use; the rest covers unreported work.
+_USABLE_PAUSE_SHARE = 0.8
+# The share of an engine's memory that predicted use may fill; answers may exceed their estimates.
+_USABLE_MEMORY_SHARE = 0.92
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
-    """Hold what a request asks of an endpoint; times in ms, lengths in tokens.
+class PlacementRequest:
+    """What a request requires of an endpoint; times in ms, lengths in tokens.
 
-    ``unseen_ms`` is for how long what other daemons send is not yet seen here.
+    ``propagation_ms`` is the delay after which other daemons' placements are visible here.
     """
 
     prompt_tokens: int
     answer_tokens: int
     objective_ms: float
-    pause_ms: int | None
+    max_pause_ms: int | None
     waited_ms: float = 0.0
     patience_ms: float = math.inf
-    unseen_ms: float = 0.0
+    propagation_ms: float = 0.0
 
     @property
-    def tokens(self) -> int:
-        """Return the memory that the request fills in the end."""
+    def total_tokens(self) -> int:
+        """Return the memory in use when the answer is complete."""
         return self.prompt_tokens + self.answer_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """Hold an endpoint that may take the request, with all daemons' work there.
+    """An endpoint that may serve the request, with the load of all daemons there.
 
-    ``claimed`` places are free, and left to the daemons whose streams have just freed them.
+    ``claimed_slots`` are free but left for now to other daemons.
     """
 
     entry: EndpointEntry
     load: EndpointLoad
     suspect: bool = False
-    claimed: int = 0
+    claimed_slots: int = 0
 
-    def full(self, engine: EngineModel) -> bool:
-        """Return whether every place is taken or claimed."""
-        return self.load.writers + self.claimed >= engine.slots
+    def is_full(self, engine: EngineModel) -> bool:
+        """Return whether every slot is in use or claimed."""
+        return self.load.streams + self.claimed_slots >= engine.slots
 
 
 @dataclass(frozen=True, slots=True)
 class Helper:
-    """Hold an engine that reads a part of a prompt and the tokens that it stores for it."""
+    """An engine that prefills a part of a prompt and the tokens that it stores of it."""
 
     entry: EndpointEntry
-    stored: int = 0
+    stored_tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Hold the chosen endpoint, its helpers and what is predicted of it.
+    """The selected endpoint, its helpers and the predicted outcome.
 
-    ``first_event_ms`` is the time to the first event, ``best_ms`` what it would be with half of
-    the most engines idle. ``harm`` counts the tokens of others' streams that will pause too long
-    or come late, ``late`` those of this request; 0 where there are none.
+    ``first_event_ms`` is the time to the first event, ``best_first_event_ms`` what it would be if
+    half of the largest group of engines were idle. ``interference_tokens`` is the loss of other
+    streams that stall or come late, ``lateness_tokens`` the loss of this request.
     """
 
     entry: EndpointEntry
     helpers: tuple[Helper, ...]
-    shares: tuple[Share, ...]
+    shares: tuple[LoadShare, ...]
     first_event_ms: float
     reason: str
-    harm: float = 0.0
-    late: float = 0.0
-    best_ms: float = 0.0
-    full: bool = False
+    interference_tokens: float = 0.0
+    lateness_tokens: float = 0.0
+    best_first_event_ms: float = 0.0
+    endpoint_full: bool = False
 
     @property
-    def work_ms(self) -> float:
-        """Return how long all endpoints together read."""
-        return sum(share.reading_ms for share in self.shares)
+    def total_prefill_ms(self) -> float:
+        """Return the prefill time summed over all endpoints."""
+        return sum(share.prefill_ms for share in self.shares)
 
 
-class Verdict(Enum):
-    """Say what becomes of a request, given its best placement now."""
+class Decision(Enum):
+    """What to do with a request, given its best placement."""
 
     SEND = auto()
     WAIT = auto()
     REFUSE = auto()
 
 
-def judge(need: Need, placement: Placement) -> Verdict:
-    """Return whether a request is sent now, waits for calmer engines, or is refused at once."""
-    if placement.full:
-        return _judge_full(need, placement)
-    if better_later(need, placement):
-        return Verdict.WAIT
-    return Verdict.SEND if worth_serving(need, placement) else Verdict.REFUSE
+def decide(request: PlacementRequest, placement: Placement) -> Decision:
+    """Return whether a request is sent, waits for less loaded engines, or is refused."""
+    if placement.endpoint_full:
+        return _decide_when_full(request, placement)
+    if should_wait(request, placement):
+        return Decision.WAIT
+    return Decision.SEND if is_worth_serving(request, placement) else Decision.REFUSE
 
 
-def _judge_full(need: Need, placement: Placement) -> Verdict:
-    """Return whether a request waits for a free place.
+def _decide_when_full(request: PlacementRequest, placement: Placement) -> Decision:
+    """Return whether a request waits for a free slot.
 
-    A request that queues inside an engine cannot be moved, ordered or refused any more.
+    It waits here because a request queued inside an engine can't be moved, reordered or refused.
     """
-    if need.waited_ms + placement.best_ms < need.patience_ms * FULL_WAIT_SHARE:
-        return Verdict.WAIT
-    return Verdict.REFUSE
-
-
-def better_later(need: Need, placement: Placement) -> bool:
-    """Return whether a request should wait for other engines instead of taking this placement."""
-    loss = placement.harm + placement.late
-    if not loss:
+    if (
+        request.waited_ms + placement.best_first_event_ms
+        < request.patience_ms * SLOT_WAIT_PATIENCE_SHARE
+    ):
+        return Decision.WAIT
+    return Decision.REFUSE
+
+
+def should_wait(request: PlacementRequest, placement: Placement) -> bool:
+    """Return whether a request should wait for less loaded engines."""
+    loss_tokens = placement.interference_tokens + placement.lateness_tokens
+    if not loss_tokens:
         return False
-    best = (need.waited_ms + placement.best_ms) / need.objective_ms
-    timely = need.waited_ms + placement.first_event_ms < need.objective_ms
-    if best < _WAIT_SHARE or (timely and best < _LATE_WAIT_SHARE):
-        return loss > need.tokens * _ACCEPTED_SHARE * min(1.0, best / _WAIT_SHARE)
-    # One that comes late in any case leaves those alone that can still come in time.
-    return placement.harm > 0 and best < _LATE_WAIT_SHARE
-
-
-def worth_serving(need: Need, placement: Placement) -> bool:
-    """Return whether a request earns more than it costs others, and its caller still awaits it."""
-    if need.waited_ms + placement.first_event_ms >= need.patience_ms:
+    best = (request.waited_ms + placement.best_first_event_ms) / request.objective_ms
+    timely = request.waited_ms + placement.first_event_ms < request.objective_ms
+    if best < _WAIT_OBJECTIVES or (timely and best < _LATE_WAIT_OBJECTIVES):
+        return loss_tokens > request.total_tokens * _ACCEPTED_LOSS_SHARE * min(
+            1.0, best / _WAIT_OBJECTIVES
+        )
+    # A request that is late in any case doesn't interfere with streams that can still be in time.
+    return placement.interference_tokens > 0 and best < _LATE_WAIT_OBJECTIVES
+
+
+def is_worth_serving(request: PlacementRequest, placement: Placement) -> bool:
+    """Return whether a request gains more than it costs others before its caller gives up."""
+    if request.waited_ms + placement.first_event_ms >= request.patience_ms:
         return False
-    return placement.harm <= need.tokens - placement.late
+    return placement.interference_tokens <= request.total_tokens - placement.lateness_tokens
 
 
-def pressure_of(candidates: Sequence[Candidate], engine: EngineModel) -> float:
-    """Return how much of all engines is taken by streams or by prompts to read, from 0 to 1."""
-    taken = 0.0
+def fleet_utilization(candidates: Sequence[Candidate], engine: EngineModel) -> float:
+    """Return the share of the engines in use by streams or pending prefill, from 0 to 1."""
+    used = 0.0
     for each in candidates:
-        reading = each.load.reading_ms / _FULL_READING_MS
-        taken += min(1.0, each.load.writers / engine.slots + reading)
-    return taken / len(candidates)
+        prefill = each.load.pending_prefill_ms / _FULL_PREFILL_MS
+        used += min(1.0, each.load.streams / engine.slots + prefill)
+    return used / len(candidates)
 
 
 def usable_memory(engine: EngineModel) -> int:
     """Return the tokens that predicted use may fill at one engine."""
-    return int(engine.memory * _MEMORY_SHARE)
+    return int(engine.memory * _USABLE_MEMORY_SHARE)
 
 
-def fits(need: Need, candidate: Candidate, engine: EngineModel) -> bool:
+def fits_memory(request: PlacementRequest, candidate: Candidate, engine: EngineModel) -> bool:
     """Return whether an engine has memory for the whole request."""
-    return candidate.load.memory + need.tokens <= usable_memory(engine)
+    return candidate.load.memory + request.total_tokens <= usable_memory(engine)
 
 
-def no_place(need: Need, candidate: Candidate, engine: EngineModel) -> bool:
-    """Return whether a request would queue at an engine until other work there has ended."""
-    return candidate.full(engine) or not fits(need, candidate, engine)
+def would_queue(request: PlacementRequest, candidate: Candidate, engine: EngineModel) -> bool:
+    """Return whether a request would queue at an engine for a slot or memory."""
+    return candidate.is_full(engine) or not fits_memory(request, candidate, engine)
 
 
-def allowed_pause_ms(load: EndpointLoad, own_pause_ms: int) -> float:
-    """Return how long a pass may last at an engine, with the streams there and a further one."""
-    tightest = load.tightest_pause()
-    pause = own_pause_ms if tightest is None else min(tightest, own_pause_ms)
-    return pause * _PAUSE_SHARE
+def usable_pause_ms(load: EndpointLoad, own_pause_ms: int) -> float:
+    """Return how long a pass may last without stalling the streams there or a new one."""
+    shortest = load.shortest_max_pause()
+    pause = own_pause_ms if shortest is None else min(shortest, own_pause_ms)
+    return pause * _USABLE_PAUSE_SHARE
 
 
-def placed_alone(
-    need: Need,
+def place_on_one(
+    request: PlacementRequest,
     chosen: Candidate,
     engine: EngineModel | None,
     reason: str,
-    harm: float = 0.0,
+    interference_tokens: float = 0.0,
     full: bool = False,
 ) -> Placement:
     """Return the placement of a request at one endpoint without helpers."""
-    cost = 0.0 if engine is None else prefill_ms(engine, need.prompt_tokens)
-    wait = chosen.load.reading_ms + (
-        next_pass_ms(engine, chosen.load) if engine is not None else 0.0
+    cost = 0.0 if engine is None else prefill_ms(engine, request.prompt_tokens)
+    wait = chosen.load.pending_prefill_ms + (
+        next_decode_pass_ms(engine, chosen.load) if engine is not None else 0.0
     )
-    share = Share(chosen.entry.id, cost, need.tokens, need.pause_ms)
+    share = LoadShare(chosen.entry.id, cost, request.total_tokens, request.max_pause_ms)
     first = wait + cost
-    return Placement(chosen.entry, (), (share,), first, reason, harm, 0.0, first, full)
+    return Placement(
+        chosen.entry, (), (share,), first, reason, interference_tokens, 0.0, first, full
+    )
--- a/src/brassdrum/gateway/request/attempt.py
+++ b/src/brassdrum/gateway/request/attempt.py
@@ -17,7 +17,7 @@
 from brassdrum.gateway.net.upstream import Break, EndpointCall, EndpointPool, OutgoingRequest
 from brassdrum.gateway.placing.load import LoadTable
 from brassdrum.gateway.placing.placement import Helper, Placement
-from brassdrum.gateway.placing.reservations import Hold, Reservations
+from brassdrum.gateway.placing.reservations import MemoryHold, ReservationManager
 
 __all__ = ["Attempt", "AttemptContext", "AttemptOwner", "helper_name"]
 
@@ -32,7 +32,7 @@
     dialect: Dialect
     pool: EndpointPool
     table: LoadTable
-    reservations: Reservations
+    reservations: ReservationManager
 
     def load_changed(self) -> None:
         """Handle a change of this daemon's requests in flight."""
@@ -89,7 +89,7 @@
         # Not the number of sends, which leaves out attempts without a memory reservation.
         self._attempt_number = context.next_attempt_number()
         self._load_key = f"{owner.request.id}.{self._attempt_number}"
-        self._reservation: Hold | None = None
+        self._reservation: MemoryHold | None = None
         self._call: EndpointCall | None = None
         self._first_event_seen = False
         self._finished = False
@@ -107,7 +107,7 @@
     @property
     def endpoint_has_free_slots(self) -> bool:
         """Return whether enough slots of the endpoint are known to be free."""
-        taken = self._context.table.total(self.endpoint).calls
+        taken = self._context.table.total(self.endpoint).requests
         return taken <= self._placement.entry.slots * _MAX_USED_SLOTS_RATIO
 
     @property
@@ -129,13 +129,13 @@
         )
         self._context.load_changed()
         reservations = tuple(
-            Reservation(each.entry.address, self.reservation_id(each.entry.name), each.stored)
+            Reservation(each.entry.address, self.reservation_id(each.entry.name), each.stored_tokens)
             for each in self._placement.helpers
-            if each.stored
+            if each.stored_tokens
         )
         if reservations:
             endpoint_address = self._placement.entry.address
-            self._reservation = self._context.reservations.hold(
+            self._reservation = self._context.reservations.acquire(
                 reservations,
                 endpoint_address,
                 self._reservation_answered,
@@ -169,7 +169,7 @@
         if self._first_event_seen or self._finished:
             return
         self._first_event_seen = True
-        self._context.table.prompt_read(self._load_key)
+        self._context.table.prefill_finished(self._load_key)
         self._context.load_changed()
 
     def cancel(self) -> None:
@@ -211,5 +211,5 @@
 
 def helper_name(attempt: Attempt, helper: Helper) -> HelperName:
     """Return the helper's address with the identifier of its memory reservation, if it has one."""
-    reservation = attempt.reservation_id(helper.entry.name) if helper.stored else None
+    reservation = attempt.reservation_id(helper.entry.name) if helper.stored_tokens else None
     return HelperName(helper.entry.address, reservation)
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -17,7 +17,7 @@
 from brassdrum.gateway.net.callers import CallerConnection
 from brassdrum.gateway.net.loop import Timer
 from brassdrum.gateway.net.upstream import Break, OutgoingRequest
-from brassdrum.gateway.placing.placement import Need, Placement, Verdict, judge
+from brassdrum.gateway.placing.placement import Decision, Placement, PlacementRequest, decide
 from brassdrum.gateway.request.attempt import Attempt, helper_name
 from brassdrum.gateway.request.events import EventOrderError, EventStreamReader
 from brassdrum.gateway.request.exchange_host import ExchangeContext
@@ -111,11 +111,11 @@
         """Return the seconds until the deadline for the complete response."""
         return self._deadline - self._context.loop.now()
 
-    def need(self) -> Need:
+    def need(self) -> PlacementRequest:
         """Return the requirements that placement has to meet."""
         # A route without a pause limit uses its objective as the limit.
         pause = self.route.longest_pause or self.route.objective
-        return Need(
+        return PlacementRequest(
             self.request.prompt_tokens,
             self.request.answer_tokens,
             self.route.objective * 1000,
@@ -246,14 +246,18 @@
             self._stop_waiting()
             self._fail("no endpoint is available for the request")
             return
-        verdict = judge(need, placement)
-        if verdict is Verdict.WAIT and not self._context.may_wait(self):
-            verdict = Verdict.SEND
-        if verdict is Verdict.WAIT and self._wait(placement):
+        verdict = decide(need, placement)
+        if verdict is Decision.WAIT and not self._context.may_wait(self):
+            verdict = Decision.SEND
+        if verdict is Decision.WAIT and self._wait(placement):
             return
-        self._stop_waiting(served=verdict is Verdict.SEND)
-        if verdict is not Verdict.SEND and not self._may_have_run and not self._response_started:
-            detail = "every place is taken" if placement.full else "others would lose more by it"
+        self._stop_waiting(served=verdict is Decision.SEND)
+        if verdict is not Decision.SEND and not self._may_have_run and not self._response_started:
+            detail = (
+                "every place is taken"
+                if placement.endpoint_full
+                else "others would lose more by it"
+            )
             self._fail(detail, self._context.wait_queue.retry_after_seconds())
             return
         self.send_count += 1
@@ -272,19 +276,19 @@
     def _wait(self, placement: Placement) -> bool:
         """Queue for a better placement; return False if the request is unlikely to get one."""
         now = self._context.loop.now()
-        self._waiting_for_slot = placement.full
+        self._waiting_for_slot = placement.endpoint_full
         self.wait_deadlines.update(placement, now)
         late = now > self.wait_deadlines.timely_until
-        if late and placement.full and not self._context.wait_queue.admits_late(self):
+        if late and placement.endpoint_full and not self._context.wait_queue.admits_late(self):
             return False
         if self._waiting:
             return True
         self._waiting = True
         self._log_decision(
             log_events.WAITING,
-            harm=round(placement.harm),
-            late=round(placement.late),
-            full=placement.full,
+            harm=round(placement.interference_tokens),
+            late=round(placement.lateness_tokens),
+            full=placement.endpoint_full,
             predicted_ms=round(placement.first_event_ms),
         )
         self._context.wait_queue.add(self)
@@ -303,8 +307,8 @@
             helpers=[each.entry.id for each in placement.helpers],
             predicted_ms=round(placement.first_event_ms),
             waited_ms=round((self._context.loop.now() - self.arrived) * 1000),
-            harm=round(placement.harm),
-            late=round(placement.late),
+            harm=round(placement.interference_tokens),
+            late=round(placement.lateness_tokens),
             reason=placement.reason,
             send=self.send_count,
             version=self._context.knowledge.version,
@@ -429,7 +433,7 @@
     def queued_prefill_seconds(self) -> float:
         """Return the seconds of prefill queued at the current attempt's endpoint."""
         assert self._attempt is not None
-        return self._context.table.total(self._attempt.endpoint).reading_ms / 1000
+        return self._context.table.total(self._attempt.endpoint).pending_prefill_ms / 1000
 
     def endpoint_stalled(self, *, certain: bool) -> None:
         """Replace the current attempt after a stall."""
--- a/src/brassdrum/gateway/request/exchange_host.py
+++ b/src/brassdrum/gateway/request/exchange_host.py
@@ -8,7 +8,7 @@
 from brassdrum.gateway.following.knowledge import Knowledge
 from brassdrum.gateway.guards.crash_guard import CrashGuard
 from brassdrum.gateway.guards.endings import LostRequest
-from brassdrum.gateway.placing.placement import Need, Placement
+from brassdrum.gateway.placing.placement import Placement, PlacementRequest
 from brassdrum.gateway.request.attempt import Attempt, AttemptContext
 from brassdrum.gateway.request.outcome import Outcome
 from brassdrum.gateway.request.waiting import WaitQueue
@@ -28,7 +28,7 @@
     wait_queue: WaitQueue
     guard: CrashGuard
 
-    def place(self, exchange: Exchange, need: Need) -> Placement | None:
+    def place(self, exchange: Exchange, need: PlacementRequest) -> Placement | None:
         """Return the best placement for a request now, or None without a usable endpoint."""
 
     def may_wait(self, exchange: Exchange) -> bool:
--- a/src/brassdrum/gateway/request/patience.py
+++ b/src/brassdrum/gateway/request/patience.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from brassdrum.gateway.model import DeclaredRequest, Headers, Route
-from brassdrum.gateway.placing.placement import FULL_WAIT_SHARE, Placement
+from brassdrum.gateway.placing.placement import SLOT_WAIT_PATIENCE_SHARE, Placement
 
 __all__ = [
     "WaitDeadlines",
@@ -72,9 +72,9 @@
     def update(self, placement: Placement, now: float) -> None:
         """Recompute the deadlines from the best placement now."""
         first_event_margin = placement.first_event_ms / 1000 * _PREDICTION_FACTOR
-        self.prefill_seconds = placement.work_ms / 1000
+        self.prefill_seconds = placement.total_prefill_ms / 1000
         self.timely_until = self.decide_by = self.arrived + self.objective - first_event_margin
         if now > self.timely_until:
             self.decide_by = (
-                self.arrived + self.caller_timeout * FULL_WAIT_SHARE - first_event_margin
+                self.arrived + self.caller_timeout * SLOT_WAIT_PATIENCE_SHARE - first_event_margin
             )
