--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from brassdrum.gateway.following.suspicion import FailingWord, Suspicions
+from brassdrum.gateway.following.failure_detector import FailureDetector, FailureNotice
 from brassdrum.gateway.model import (
     DaemonAddress,
     DeclaredRequest,
@@ -257,51 +257,51 @@
 
 @when("an endpoint fails once among successes")
 def step_fail_once(context):
-    context.suspicions = Suspicions()
+    context.suspicions = FailureDetector()
     context.now = 1.0
-    context.suspicions.failed("a", context.now, certain=False)
-    context.suspicions.succeeded("a")
+    context.suspicions.record_failure("a", context.now, certain=False)
+    context.suspicions.record_success("a")
 
 
 @when("it fails {times:d} times in a row")
 def step_fail_row(context, times):
     for _ in range(times):
-        context.suspicions.failed("a", context.now, certain=False)
+        context.suspicions.record_failure("a", context.now, certain=False)
 
 
 @when("its connection fails")
 def step_fail_connection(context):
-    assert context.suspicions.failed("a", context.now, certain=True)
+    assert context.suspicions.record_failure("a", context.now, certain=True)
 
 
 @when("a peer says that an endpoint fails")
 def step_peer_says(context):
-    context.suspicions = Suspicions()
+    context.suspicions = FailureDetector()
     context.now = 1.0
-    context.suspicions.heard(FailingWord("a", 0.8, 0.8), context.now)
+    context.suspicions.apply_notice(FailureNotice("a", 0.8, 0.8), context.now)
 
 
 @then("it is not suspect")
 def step_not_suspect(context):
-    assert not context.suspicions.suspect("a", context.now)
+    assert not context.suspicions.is_suspect("a", context.now)
 
 
 @then("it is suspect")
 @then("it is suspect at once")
 def step_is_suspect(context):
-    assert context.suspicions.suspect("a", context.now)
+    assert context.suspicions.is_suspect("a", context.now)
 
 
 @then("it is suspect but not named to others")
 def step_not_named(context):
-    assert context.suspicions.suspect("a", context.now)
-    assert context.suspicions.words(context.now) == []
+    assert context.suspicions.is_suspect("a", context.now)
+    assert context.suspicions.notices(context.now) == []
 
 
 @then("it is sound again later")
 def step_sound_later(context):
     context.now += 10.0
-    assert not context.suspicions.suspect("a", context.now)
+    assert not context.suspicions.is_suspect("a", context.now)
 
 
 @when("two peers and this daemon work at an endpoint")
@@ -351,7 +351,9 @@
         LoadRow(9, EndpointLoad()),
     )
     leaving = (LeavingWord("c", 0.25), LeavingWord("d", 3.0))
-    belief = PeerBelief(7, "digest", 0.25, 3, (FailingWord("b", 0.5, 1.6),), leaving, ("e",), era=2)
+    belief = PeerBelief(
+        7, "digest", 0.25, 3, (FailureNotice("b", 0.5, 1.6),), leaving, ("e",), era=2
+    )
     own, other = DaemonAddress("10.0.0.1", "zone-a", 21), DaemonAddress("10.0.0.2", "zone-b")
     sender = Sender("daemon-1", own, 1764630000000, 6, True)
     acknowledged = (Acknowledgement("10.0.0.2", 9),)
--- a/features/steps/peer_group_steps.py
+++ b/features/steps/peer_group_steps.py
@@ -11,7 +11,7 @@
 
 from brassdrum.bench.load.loop import SimulatedLoop
 from brassdrum.bench.load.network import SimulatedNetwork
-from brassdrum.gateway.following.suspicion import Suspicions
+from brassdrum.gateway.following.failure_detector import FailureDetector
 from brassdrum.gateway.model import DaemonAddress
 from brassdrum.gateway.peering.peer_messages import PeerBelief
 from brassdrum.gateway.peering.peers import Peers
@@ -31,7 +31,7 @@
         self.address = DaemonAddress(f"10.{number % zones}.0.{number}", f"zone-{number % zones}")
         self.loop = SlowedLoop(fleet.loop)
         self.table = LoadTable()
-        self.suspicions = Suspicions()
+        self.suspicions = FailureDetector()
         self.heard_at = []
         self.requests = {}
         self.peers = Peers(
@@ -42,7 +42,7 @@
             incarnation,
             self.table,
             lambda: PeerBelief(
-                1, "abc", 0.0, 1, failing=tuple(self.suspicions.words(self.loop.now()))
+                1, "abc", 0.0, 1, failing=tuple(self.suspicions.notices(self.loop.now()))
             ),
             lambda *_: None,
             self._heard_word,
@@ -52,7 +52,7 @@
 
     def _heard_word(self, _host, belief):
         for word in belief.failing:
-            self.suspicions.heard(word, self.loop.now())
+            self.suspicions.apply_notice(word, self.loop.now())
             self.heard_at.append(self.loop.now())
 
     def begin(self, name, engine):
@@ -327,7 +327,7 @@
 def step_avoids(context):
     fleet = context.fleet
     context.avoiding = next(each for each in fleet.daemons if not each.peers.speaks)
-    assert context.avoiding.suspicions.failed("a", fleet.loop.now(), certain=True)
+    assert context.avoiding.suspicions.record_failure("a", fleet.loop.now(), certain=True)
     context.avoiding.begin("r", "b")
 
 
@@ -336,7 +336,7 @@
     fleet = context.fleet
     fleet.loop.advance(seconds)
     now = fleet.loop.now()
-    deaf = [each for each in fleet.daemons if not each.suspicions.suspect("a", now)]
+    deaf = [each for each in fleet.daemons if not each.suspicions.is_suspect("a", now)]
     assert not deaf, [each.address for each in deaf]
 
 
--- a/features/steps/turning_away_steps.py
+++ b/features/steps/turning_away_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from brassdrum.bench.load.loop import SimulatedLoop
-from brassdrum.gateway.following.suspicion import Suspicions
+from brassdrum.gateway.following.failure_detector import FailureDetector
 from brassdrum.gateway.placing.load import EndpointLoad, LoadRow, endpoint_key
 from features.steps.exchange_steps import begin
 
@@ -28,7 +28,7 @@
         self._random = random.Random(seed)
         self._turning_away = {str(number) for number in range(turning_away)}
         self._loop = SimulatedLoop()
-        self._daemons = [Suspicions() for _ in range(DAEMONS)]
+        self._daemons = [FailureDetector() for _ in range(DAEMONS)]
         for number in range(DAEMONS):
             start = self._random.uniform(0.0, HEARTBEAT_SECONDS)
             self._loop.call_later(start, lambda n=number: self._beat(n))
@@ -43,14 +43,14 @@
         now = self._loop.now()
         daemon = self._daemons[number]
         left = [str(n) for n in range(ENDPOINTS) if str(n) not in tried]
-        sound = [each for each in left if not daemon.suspect(each, now)] or left
+        sound = [each for each in left if not daemon.is_suspect(each, now)] or left
         endpoint = self._random.choice(sound)
         tried.add(endpoint)
         if endpoint not in self._turning_away:
-            daemon.succeeded(endpoint)
+            daemon.record_success(endpoint)
             return
         self.met += 1
-        if daemon.failed(endpoint, now, certain=True):
+        if daemon.record_failure(endpoint, now, certain=True):
             self._tell(number)
         if len(tried) == SENDS:
             self.refused += 1
@@ -62,7 +62,7 @@
         self._loop.call_later(HEARTBEAT_SECONDS, lambda: self._beat(number))
 
     def _tell(self, number):
-        words = self._daemons[number].words(self._loop.now())
+        words = self._daemons[number].notices(self._loop.now())
         if words:
             self._loop.call_later(WORD_SECONDS, lambda: self._hear(number, words))
 
@@ -71,7 +71,7 @@
             if number == teller:
                 continue
             for word in words:
-                daemon.heard(word, self._loop.now())
+                daemon.apply_notice(word, self._loop.now())
 
 
 @when("{count:d} of the endpoints turn away all requests, with seeds {first:d} to {last:d}")
@@ -89,23 +89,23 @@
 
 @given("an endpoint that one daemon has avoided twice")
 def step_avoided_twice(context):
-    context.first = Suspicions()
-    assert context.first.failed("a", 10.0, certain=True)
-    assert context.first.failed("a", 11.0, certain=True)
+    context.first = FailureDetector()
+    assert context.first.record_failure("a", 10.0, certain=True)
+    assert context.first.record_failure("a", 11.0, certain=True)
 
 
 @when("another daemon that heard of it meets a failure there")
 def step_other_meets(context):
-    context.second = Suspicions()
-    (word,) = context.first.words(11.5)
-    context.second.heard(word, 11.5)
-    assert context.second.suspect("a", 12.5) and not context.second.suspect("a", 12.7)
-    assert context.second.failed("a", 13.0, certain=True)
+    context.second = FailureDetector()
+    (word,) = context.first.notices(11.5)
+    context.second.apply_notice(word, 11.5)
+    assert context.second.is_suspect("a", 12.5) and not context.second.is_suspect("a", 12.7)
+    assert context.second.record_failure("a", 13.0, certain=True)
 
 
 @then("it avoids the endpoint for twice as long again")
 def step_twice_as_long(context):
-    (before,), (after,) = context.first.words(11.0), context.second.words(13.0)
+    (before,), (after,) = context.first.notices(11.0), context.second.notices(13.0)
     assert after.span == 2 * before.span, (before, after)
 
 
@@ -130,55 +130,55 @@
 @given("a daemon that has just met a failure at an endpoint")
 def step_met_failure(context):
     context.daemon_now = 10.0
-    context.daemon_alone = Suspicions()
-    assert not context.daemon_alone.failed("a", 10.0, certain=False)
+    context.daemon_alone = FailureDetector()
+    assert not context.daemon_alone.record_failure("a", 10.0, certain=False)
 
 
 @given("a daemon to which an endpoint has just answered with a failure")
 def step_answered_failure(context):
     context.daemon_now = 10.0
-    context.daemon_alone = Suspicions()
-    assert not context.daemon_alone.answered_failure("a", 10.0)
+    context.daemon_alone = FailureDetector()
+    assert not context.daemon_alone.record_error_response("a", 10.0)
 
 
 @then("it tells nobody of it")
 def step_tells_nobody(context):
-    assert context.daemon_alone.doubts(context.daemon_now) == []
+    assert context.daemon_alone.uncertain_failures(context.daemon_now) == []
 
 
 @when("it meets a failure there {seconds:g} s later")
 def step_meets_later(context, seconds):
     context.met_at = 11.0 + seconds
-    assert context.first.failed("a", context.met_at, certain=True)
+    assert context.first.record_failure("a", context.met_at, certain=True)
 
 
 @then("it avoids the endpoint for {seconds:g} s")
 def step_avoids_for(context, seconds):
-    (word,) = context.first.words(context.met_at)
+    (word,) = context.first.notices(context.met_at)
     assert word.span == seconds, word
 
 
 @given("a daemon that has met no failure")
 def step_met_none(context):
     context.daemon_now = 10.0
-    context.daemon_alone = Suspicions()
+    context.daemon_alone = FailureDetector()
 
 
 @when("a peer tells of a failure there {seconds:g} s later")
 def step_peer_tells(context, seconds):
     context.daemon_now += seconds
-    context.daemon_alone.doubted("a", "10.0.0.2", context.daemon_now)
+    context.daemon_alone.record_uncertain_failure("a", "10.0.0.2", context.daemon_now)
 
 
 @then("no endpoint is suspect there")
 def step_not_suspect_there(context):
-    assert not context.daemon_alone.suspect("a", context.daemon_now)
+    assert not context.daemon_alone.is_suspect("a", context.daemon_now)
 
 
 @then("it is suspect there, and its word says so")
 def step_suspect_there(context):
-    assert context.daemon_alone.suspect("a", context.daemon_now)
-    (word,) = context.daemon_alone.words(context.daemon_now)
+    assert context.daemon_alone.is_suspect("a", context.daemon_now)
+    (word,) = context.daemon_alone.notices(context.daemon_now)
     assert word.endpoint == "a"
 
 
@@ -194,14 +194,14 @@
     def _send(self, number, tried):
         now = self._loop.now()
         daemon = self._daemons[number]
-        self.avoided.append(sum(daemon.suspect(str(n), now) for n in range(ENDPOINTS)))
+        self.avoided.append(sum(daemon.is_suspect(str(n), now) for n in range(ENDPOINTS)))
         left = [str(n) for n in range(ENDPOINTS) if str(n) not in tried]
-        endpoint = self._random.choice([e for e in left if not daemon.suspect(e, now)] or left)
+        endpoint = self._random.choice([e for e in left if not daemon.is_suspect(e, now)] or left)
         tried.add(endpoint)
         if endpoint not in self._turning_away or self._random.random() >= self._share:
-            daemon.succeeded(endpoint)
+            daemon.record_success(endpoint)
             return
-        daemon.failed(endpoint, now, certain=False)
+        daemon.record_failure(endpoint, now, certain=False)
         self._tell(number)
         if len(tried) == SENDS:
             self.failed += 1
@@ -210,7 +210,7 @@
 
     def _tell(self, number):
         super()._tell(number)
-        doubts = self._daemons[number].doubts(self._loop.now())
+        doubts = self._daemons[number].uncertain_failures(self._loop.now())
         if doubts:
             self._loop.call_later(WORD_SECONDS, lambda: self._hear_doubts(number, doubts))
 
@@ -219,7 +219,7 @@
             if number == teller:
                 continue
             for endpoint in doubts:
-                daemon.doubted(endpoint, str(teller), self._loop.now())
+                daemon.record_uncertain_failure(endpoint, str(teller), self._loop.now())
 
 
 @when("{count:d} of the endpoints reset all connections, with seeds {first:d} to {last:d}")
--- a/src/brassdrum/gateway/following/beliefs.py
+++ b/src/brassdrum/gateway/following/beliefs.py
@@ -5,9 +5,9 @@
 import logging
 from collections.abc import Callable
 
+from brassdrum.gateway.following.failure_detector import FailureDetector
 from brassdrum.gateway.following.follower import Follower
 from brassdrum.gateway.following.knowledge import EndpointChange, Knowledge
-from brassdrum.gateway.following.suspicion import Suspicions
 from brassdrum.gateway.guards.crash_guard import CrashGuard
 from brassdrum.gateway.net.loop import EventLoop
 from brassdrum.gateway.net.upstream import EndpointPool
@@ -35,7 +35,7 @@
         self._pool = pool
         self._on_changed = on_changed
         self._guard = guard
-        self._suspicions = Suspicions()
+        self._suspicions = FailureDetector()
         self._follower: Follower | None = None
 
     def follow(self, follower: Follower) -> None:
@@ -48,21 +48,21 @@
 
     def suspect(self, endpoint: str) -> bool:
         """Return whether an endpoint is avoided while others are sound."""
-        return self._suspicions.suspect(endpoint, self._loop.now())
+        return self._suspicions.is_suspect(endpoint, self._loop.now())
 
     def endpoint_failed(self, endpoint: str, *, certain: bool, detail: str) -> None:
         """Avoid an endpoint that fails; tell peers of what is certain."""
-        if self._suspicions.failed(endpoint, self._loop.now(), certain=certain):
+        if self._suspicions.record_failure(endpoint, self._loop.now(), certain=certain):
             self._log_suspect(endpoint, detail, certain)
 
     def endpoint_answered_failure(self, endpoint: str, detail: str) -> None:
         """Avoid an endpoint most of whose answers are failures."""
-        if self._suspicions.answered_failure(endpoint, self._loop.now()):
+        if self._suspicions.record_error_response(endpoint, self._loop.now()):
             self._log_suspect(endpoint, detail, False)
 
     def endpoint_served(self, endpoint: str) -> None:
         """Note a whole answer."""
-        self._suspicions.succeeded(endpoint)
+        self._suspicions.record_success(endpoint)
 
     def address_reused(self, endpoint: str) -> None:
         """Forget an endpoint whose address answers as another one."""
@@ -80,12 +80,12 @@
             self._knowledge.digest,
             self.list_age(),
             self._knowledge.reads,
-            failing=tuple(self._suspicions.words(now)),
+            failing=tuple(self._suspicions.notices(now)),
             leaving=tuple(
                 LeavingWord(endpoint, age)
                 for endpoint, age in self._knowledge.recently_left(now).items()
             ),
-            doubts=tuple(self._suspicions.doubts(now)),
+            doubts=tuple(self._suspicions.uncertain_failures(now)),
             endings=self._guard.words(),
             era=self._knowledge.era,
         )
@@ -95,9 +95,9 @@
         now = self._loop.now()
         self._guard.hear(belief.endings)
         for failing in belief.failing:
-            self._suspicions.heard(failing, now)
+            self._suspicions.apply_notice(failing, now)
         for endpoint in belief.doubts:
-            if self._suspicions.doubted(endpoint, host, now):
+            if self._suspicions.record_uncertain_failure(endpoint, host, now):
                 self._log_suspect(endpoint, f"it failed here or elsewhere, and at {host}", False)
         for word in belief.leaving:
             if self._knowledge.leaves(word.endpoint, now - word.age):
@@ -129,7 +129,7 @@
             self._log_endpoint(change, source)
             if change.change == "restarted" and change.address is not None:
                 self._pool.forget(change.address)
-        self._suspicions.keep(set(self._knowledge.endpoints_by_id))
+        self._suspicions.retain(set(self._knowledge.endpoints_by_id))
         self._on_changed()
 
     def _log_suspect(self, endpoint: str, detail: str, certain: bool) -> None:
--- a/src/brassdrum/gateway/peering/group.py
+++ b/src/brassdrum/gateway/peering/group.py
@@ -5,7 +5,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from brassdrum.gateway.following.suspicion import DOUBT_SECONDS, FailingWord, words_left
+from brassdrum.gateway.following.failure_detector import (
+    CORROBORATION_SECONDS,
+    FailureNotice,
+    unexpired_notices,
+)
 from brassdrum.gateway.peering.peer_messages import Acknowledgement, PeerBelief, Report, Sender
 from brassdrum.gateway.placing.load import EndpointLoad, LoadRow
 
@@ -91,15 +95,17 @@
         """Return the hosts of members that were silent for a number of seconds."""
         return [h for h, each in self._member_by_host.items() if now - each.heard > silence]
 
-    def failing(self, now: float) -> list[FailingWord]:
+    def failing(self, now: float) -> list[FailureNotice]:
         """Return which endpoints members avoid for what they met."""
         members = self._member_by_host.values()
-        return [w for each in members for w in words_left(each.belief.failing, now - each.heard)]
+        return [
+            w for each in members for w in unexpired_notices(each.belief.failing, now - each.heard)
+        ]
 
     def doubts(self, now: float) -> set[str]:
         """Return the endpoints at which members have just met a failure."""
         members = self._member_by_host.values()
-        fresh = [each.belief.doubts for each in members if now - each.heard < DOUBT_SECONDS]
+        fresh = [each.belief.doubts for each in members if now - each.heard < CORROBORATION_SECONDS]
         return {endpoint for doubts in fresh for endpoint in doubts}
 
     def acknowledgements(self, *, every: bool) -> tuple[Acknowledgement, ...]:
--- a/src/brassdrum/gateway/peering/peer_messages.py
+++ b/src/brassdrum/gateway/peering/peer_messages.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from brassdrum.gateway.following.suspicion import FailingWord
+from brassdrum.gateway.following.failure_detector import FailureNotice
 from brassdrum.gateway.model import DaemonAddress
 from brassdrum.gateway.peering.wire import FieldReader, FieldWriter
 from brassdrum.gateway.placing.load import LoadRow
@@ -66,7 +66,7 @@
     digest: str
     age: float | None
     reads: int
-    failing: tuple[FailingWord, ...] = ()
+    failing: tuple[FailureNotice, ...] = ()
     leaving: tuple[LeavingWord, ...] = ()
     doubts: tuple[str, ...] = ()
     endings: tuple[EndingWord, ...] = ()
@@ -343,7 +343,7 @@
     reads = reader.number(4)
     era = reader.number(4)
     failing = tuple(
-        FailingWord(
+        FailureNotice(
             reader.text(), reader.number(_AGE_BYTES) / 1000, reader.number(_AGE_BYTES) / 1000
         )
         for _ in range(reader.number(2))
--- a/src/brassdrum/gateway/peering/peers.py
+++ b/src/brassdrum/gateway/peering/peers.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from brassdrum.gateway.following.suspicion import longest_words
+from brassdrum.gateway.following.failure_detector import longest_notices
 from brassdrum.gateway.model import DaemonAddress
 from brassdrum.gateway.net.datagrams import Datagrams
 from brassdrum.gateway.net.loop import Timer, Timers
@@ -461,7 +461,7 @@
         belief = self._describe()
         now = self._loop.now()
         others = self._publishers.failing(now) if fleet else []
-        failing = longest_words([*belief.failing, *self._group.failing(now), *others])
+        failing = longest_notices([*belief.failing, *self._group.failing(now), *others])
         return replace(
             belief,
             failing=failing[:_MOST_NAMED],
--- a/src/brassdrum/gateway/peering/publishers.py
+++ b/src/brassdrum/gateway/peering/publishers.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from brassdrum.gateway.following.suspicion import FailingWord, words_left
+from brassdrum.gateway.following.failure_detector import FailureNotice, unexpired_notices
 from brassdrum.gateway.peering.peer_messages import Digest, Sender
 
 __all__ = ["Publishers", "Taken"]
@@ -22,7 +22,7 @@
 class _Publisher:
     sender: Sender
     daemons: int
-    failing: tuple[FailingWord, ...]
+    failing: tuple[FailureNotice, ...]
     heard: float
 
 
@@ -57,10 +57,12 @@
         )
         return Taken(known is None, began)
 
-    def failing(self, now: float) -> list[FailingWord]:
+    def failing(self, now: float) -> list[FailureNotice]:
         """Return which endpoints the daemons of other groups avoid for what they met."""
         others = self._publisher_by_host.values()
-        return [word for each in others for word in words_left(each.failing, now - each.heard)]
+        return [
+            word for each in others for word in unexpired_notices(each.failing, now - each.heard)
+        ]
 
     def name(self, host: str) -> str | None:
         """Return the name of the publisher on a host."""
