--- a/features/steps/guard_steps.py
+++ b/features/steps/guard_steps.py
@@ -11,7 +11,7 @@
 from brassdrum.daemon.content_guard import ContentGuard
 from brassdrum.errors import ContentQuarantinedError
 from brassdrum.gateway.guards.crash_guard import CrashGuard
-from brassdrum.gateway.guards.endings import Witness
+from brassdrum.gateway.guards.exit_detector import AffectedRequest
 from brassdrum.gateway.model import SharedRecord
 from brassdrum.gateway.placing.load import LoadTable, Share, endpoint_key
 from brassdrum.outcomes.quarantine import EndingWord, SeenEnd, Standing
@@ -47,14 +47,16 @@
 
 def assert_choices(context, standing, numbers):
     avoided = getattr(context, "avoided", set())
-    choices = context.guard.choices(standing, context.entries, lambda name: name in avoided)
+    choices = context.guard.eligible_endpoints(
+        standing, context.entries, lambda name: name in avoided
+    )
     found = [entry.name for entry in choices]
     assert found == [f"engine-{number}" for number in re.findall(r"\d+", numbers)], found
 
 
 @when("a suspect request is sent to endpoint {number:d}")
 def step_suspect_sent(context, number):
-    context.guard.sent(Standing.SUSPECT, f"engine-{number}")
+    context.guard.request_sent(Standing.SUSPECT, f"engine-{number}")
 
 
 @when("the daemon has waited {seconds:g} seconds")
@@ -140,8 +142,8 @@
 
 
 def end_endpoint(context, number, letters, in_passing=""):
-    witnesses = [Witness("r", content(letter), False, True) for letter in letters]
-    witnesses += [Witness("r", content(letter), False, False) for letter in in_passing]
+    witnesses = [AffectedRequest("r", content(letter), False, True) for letter in letters]
+    witnesses += [AffectedRequest("r", content(letter), False, False) for letter in in_passing]
     context.guard.endpoint_ended(engine_entry(number), witnesses)
     context.loop.advance(0.06)
 
@@ -166,13 +168,15 @@
 
 @when("it hears that content a was at ends 1, 2 and 3")
 def step_guard_hears(context):
-    context.guard.hear((EndingWord(content("a"), tuple(SeenEnd(n, 0.0) for n in (1, 2, 3))),))
+    context.guard.apply_peer_updates(
+        (EndingWord(content("a"), tuple(SeenEnd(n, 0.0) for n in (1, 2, 3))),)
+    )
 
 
 @when("it hears that endpoint {number:d} ended soon after content a was sent there")
 def step_guard_hears_soon(context, number):
     end = SeenEnd(endpoint_key(engine_entry(number).id), 0.0, soon=True)
-    context.guard.hear((EndingWord(content("a"), (end,)),))
+    context.guard.apply_peer_updates((EndingWord(content("a"), (end,)),))
 
 
 @then("a request with content a that was sent to endpoint {number:d} may be sent again at once")
--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -19,7 +19,7 @@
 from brassdrum.gateway.following.follower import Follower, Snapshot
 from brassdrum.gateway.following.routing_state import RoutingState
 from brassdrum.gateway.guards.crash_guard import CrashGuard
-from brassdrum.gateway.guards.endings import Witness
+from brassdrum.gateway.guards.exit_detector import AffectedRequest
 from brassdrum.gateway.model import Bounds, DaemonAddress, EndpointEntry, FleetConfiguration
 from brassdrum.gateway.net.upstream import EndpointPool
 from brassdrum.gateway.placing.load import LoadTable
@@ -146,7 +146,7 @@
 
     def _write_again(self):
         self.follower.submit(self._announce, lambda future: future.result())
-        self.guard.write_again()
+        self.guard.rewrite_records()
 
 
 class Fleet:
@@ -266,7 +266,7 @@
 def step_quarantined(context):
     for number in range(1, ENDS + 1):
         entry = replace(endpoint(number), name=f"ended-{number}")
-        witness = Witness("r", CONTENT, began=True, lived=True)
+        witness = AffectedRequest("r", CONTENT, began=True, lived=True)
         context.fleet.daemons[1].guard.endpoint_ended(entry, [witness])
         context.fleet.pass_time(0.5)
     assert CONTENT in context.fleet.store.quarantine_by_content
@@ -274,7 +274,7 @@
 
 @when("the content is answered whole")
 def step_released(context):
-    context.fleet.daemons[1].guard.served(CONTENT)
+    context.fleet.daemons[1].guard.request_served(CONTENT)
     context.fleet.pass_time(0.5)
     assert CONTENT not in context.fleet.store.quarantine_by_content
 
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -18,7 +18,7 @@
 from brassdrum.gateway.following.follower import KNOWLEDGE_PATH, Follower
 from brassdrum.gateway.following.routing_state import RoutingState
 from brassdrum.gateway.guards.crash_guard import CrashGuard
-from brassdrum.gateway.guards.endings import EndingChecks, LostRequest, Witness
+from brassdrum.gateway.guards.exit_detector import AffectedRequest, ExitDetector, LostRequest
 from brassdrum.gateway.measures import GatewayMetrics, MetricsSources
 from brassdrum.gateway.model import (
     CallerLimits,
@@ -127,7 +127,7 @@
             self._write_again,
         )
         self.beliefs.set_follower(self._follower)
-        self._endings = EndingChecks(self.loop, self._endpoint_ended)
+        self._endings = ExitDetector(self.loop, self._endpoint_ended)
         self._peers: Peers | None = None
         self._listeners: list[Listener] = []
 
@@ -293,7 +293,7 @@
     def place(self, exchange: Exchange, need: Need) -> Placement | None:
         """Return where to send a request now."""
         now = self.loop.now()
-        usable = self.guard.choices(
+        usable = self.guard.eligible_endpoints(
             self.guard.standing(exchange.content, exchange.tried),
             self.knowledge.usable(exchange.service),
             self.beliefs.is_suspect,
@@ -334,7 +334,7 @@
         """Find out whether the endpoint has ended, unless it was about to leave."""
         entry = self.knowledge.endpoints_by_id.get(attempt.endpoint)
         if entry is not None and not entry.draining:
-            self._endings.answer_broke(entry, lost)
+            self._endings.response_interrupted(entry, lost)
 
     def load_changed(self) -> None:
         """Look at the waiting requests, and tell peers soon."""
@@ -377,7 +377,7 @@
 
     # Inner wiring.
 
-    def _endpoint_ended(self, entry: EndpointEntry, witnesses: list[Witness]) -> None:
+    def _endpoint_ended(self, entry: EndpointEntry, witnesses: list[AffectedRequest]) -> None:
         self.beliefs.endpoint_failed(entry.id, certain=True, detail="its process has ended")
         self.guard.endpoint_ended(entry, witnesses)
         assert self._peers is not None
@@ -431,7 +431,7 @@
     def _write_again(self) -> None:
         """Write to the store what it may have lost; not all daemons in the same moment."""
         self.loop.call_later(self._jitter(_WRITE_AGAIN_SECONDS), self._announce_again)
-        self.guard.write_again()
+        self.guard.rewrite_records()
 
     def _announce_again(self) -> None:
         self._follower.submit(
--- a/src/brassdrum/gateway/following/endpoint_monitor.py
+++ b/src/brassdrum/gateway/following/endpoint_monitor.py
@@ -88,14 +88,14 @@
                 for endpoint, age in self._knowledge.recently_left(now).items()
             ),
             doubts=tuple(self._failure_detector.uncertain_failures(now)),
-            endings=self._guard.words(),
+            endings=self._guard.peer_updates(),
             era=self._knowledge.era,
         )
 
     def apply_peer_update(self, host: str, belief: PeerBelief) -> None:
         """Take in which endpoints and contents of requests a peer names."""
         now = self._loop.now()
-        self._guard.hear(belief.endings)
+        self._guard.apply_peer_updates(belief.endings)
         for failing in belief.failing:
             self._failure_detector.apply_notice(failing, now)
         for endpoint in belief.doubts:
--- a/src/brassdrum/gateway/guards/crash_guard.py
+++ b/src/brassdrum/gateway/guards/crash_guard.py
@@ -10,7 +10,7 @@
 from datetime import timedelta
 
 from brassdrum.errors import BrassdrumError
-from brassdrum.gateway.guards.endings import Witness
+from brassdrum.gateway.guards.exit_detector import AffectedRequest
 from brassdrum.gateway.model import ControlStore, EndpointEntry, SharedRecord
 from brassdrum.gateway.net.loop import EventLoop
 from brassdrum.gateway.placing.load import LoadTable, endpoint_key
@@ -29,22 +29,22 @@
 _logger = logging.getLogger(__name__)
 # A request that may end its endpoint does so within half a second after it began to run; for this
 # long nothing else is sent there.
-_ALONE_SECONDS = 1.0
+_ISOLATION_SECONDS = 1.0
 # After the settling time and a moment for timers that fire late.
-_REVIEW_SECONDS = SETTLE_SECONDS + 0.01
+_REVIEW_DELAY_SECONDS = SETTLE_SECONDS + 0.01
 # Daemons that start together hear each other's news within this; the first of them then asks the
 # store, one call for the whole fleet.
-_LOAD_SECONDS = 1.0
+_LOAD_DELAY_SECONDS = 1.0
 # A store that does not answer is asked again after this.
-_STORE_AGAIN_SECONDS = 2.0
+_STORE_RETRY_SECONDS = 2.0
 # Records that wait for the store; each is that of one quarantined content.
-_MOST_WAITING = 64
+_MAX_PENDING_WRITES = 64
 
 Submit = Callable[[Callable[[], object], Callable[[Future], None]], None]
 
 
 @dataclass(frozen=True, slots=True)
-class KeptEnd:
+class StoredEnd:
     """Hold an end as the store keeps it, at a time in Unix seconds; ``soon`` as in ``SeenEnd``."""
 
     endpoint: int
@@ -57,7 +57,7 @@
     """Hold what lies in the store of one quarantined content; times in Unix seconds."""
 
     content: str
-    ends: tuple[KeptEnd, ...]
+    ends: tuple[StoredEnd, ...]
 
     def encode(self) -> SharedRecord:
         """Return the form that lies in the store."""
@@ -70,7 +70,7 @@
         try:
             bytes.fromhex(record.key)
             ends = tuple(
-                KeptEnd(int(endpoint), float(at), any(soon))
+                StoredEnd(int(endpoint), float(at), any(soon))
                 for endpoint, at, *soon in json.loads(record.value)["ends"]
             )
         except (KeyError, TypeError, ValueError) as error:
@@ -79,7 +79,7 @@
             ) from error
         return cls(record.key, ends)
 
-    def word(self, now: float) -> EndingWord:
+    def as_peer_update(self, now: float) -> EndingWord:
         """Return it as another daemon would tell it; a clock that stepped makes no end newer."""
         return EndingWord(
             self.content,
@@ -96,35 +96,35 @@
         self._table = table
         self._quarantine = Quarantine()
         self._submit: Submit | None = None
-        self._first: Callable[[], bool] = lambda: False
-        self._alone_until_by_endpoint: dict[str, float] = {}
-        self._in_force: set[str] = set()
-        self._own: set[str] = set()
-        self._to_write: dict[str, SharedRecord] = {}
+        self._is_primary: Callable[[], bool] = lambda: False
+        self._isolated_until_by_endpoint: dict[str, float] = {}
+        self._quarantined_contents: set[str] = set()
+        self._observed_contents: set[str] = set()
+        self._pending_writes: dict[str, SharedRecord] = {}
         # The last ones that were released; a copy of the store may show them again.
         self._released: dict[str, None] = {}
         self._writing = False
 
-    def start(self, store: ControlStore, submit: Submit, first: Callable[[], bool]) -> None:
-        """Begin to use the store through ``submit``; ``first`` says who asks it for the fleet."""
+    def start(self, store: ControlStore, submit: Submit, is_primary: Callable[[], bool]) -> None:
+        """Begin to use the store through ``submit``; ``is_primary`` says who loads it."""
         self._store = store
         self._submit = submit
-        self._first = first
-        self._loop.call_later(_LOAD_SECONDS, self._load)
+        self._is_primary = is_primary
+        self._loop.call_later(_LOAD_DELAY_SECONDS, self._load)
 
     @property
     def quarantined(self) -> int:
         """Return the number of contents that are quarantined."""
-        return len(self._in_force)
+        return len(self._quarantined_contents)
 
     def standing(self, content: str, tried: Collection[str] = ()) -> Standing:
         """Return how a request that was sent to the endpoints ``tried`` is treated now."""
         own_ends = set(map(endpoint_key, tried))
         standing = self._quarantine.standing(content, self._loop.now(), own_ends)
-        if standing is Standing.QUARANTINED and content not in self._in_force:
+        if standing is Standing.QUARANTINED and content not in self._quarantined_contents:
             # The record is on its way before a caller hears of it: this daemon may be replaced
             # before its next review.
-            self._own.add(content)
+            self._observed_contents.add(content)
             self._review()
         return standing
 
@@ -137,7 +137,7 @@
         """Return for how long a content stays quarantined."""
         return self._quarantine.seconds_left(content, self._loop.now())
 
-    def choices(
+    def eligible_endpoints(
         self,
         standing: Standing,
         entries: Sequence[EndpointEntry],
@@ -156,20 +156,20 @@
                 if self._table.total(entry.id).empty() and not avoided(entry.id)
             ]
             return alone or list(entries)
-        if not self._alone_until_by_endpoint:
+        if not self._isolated_until_by_endpoint:
             return list(entries)
-        for endpoint, until in list(self._alone_until_by_endpoint.items()):
+        for endpoint, until in list(self._isolated_until_by_endpoint.items()):
             if now >= until:
-                del self._alone_until_by_endpoint[endpoint]
-        free = [entry for entry in entries if entry.id not in self._alone_until_by_endpoint]
+                del self._isolated_until_by_endpoint[endpoint]
+        free = [entry for entry in entries if entry.id not in self._isolated_until_by_endpoint]
         return free or list(entries)
 
-    def sent(self, standing: Standing, endpoint: str) -> None:
+    def request_sent(self, standing: Standing, endpoint: str) -> None:
         """Note where a request was sent."""
         if standing is Standing.SUSPECT:
-            self._alone_until_by_endpoint[endpoint] = self._loop.now() + _ALONE_SECONDS
+            self._isolated_until_by_endpoint[endpoint] = self._loop.now() + _ISOLATION_SECONDS
 
-    def endpoint_ended(self, entry: EndpointEntry, witnesses: Iterable[Witness]) -> None:
+    def endpoint_ended(self, entry: EndpointEntry, witnesses: Iterable[AffectedRequest]) -> None:
         """Note which contents were at an endpoint that ended."""
         now = self._loop.now()
         for witness in witnesses:
@@ -180,63 +180,63 @@
                 soon=witness.soon,
                 lived=witness.lived,
             )
-            self._own.add(witness.content)
-        self._loop.call_later(_REVIEW_SECONDS, self._review)
+            self._observed_contents.add(witness.content)
+        self._loop.call_later(_REVIEW_DELAY_SECONDS, self._review)
 
-    def served(self, content: str) -> None:
+    def request_served(self, content: str) -> None:
         """Note a whole answer."""
         if self._quarantine.served(content, self._loop.now()):
             self._review()
 
-    def words(self) -> tuple[EndingWord, ...]:
+    def peer_updates(self) -> tuple[EndingWord, ...]:
         """Return what peers are told."""
         return self._quarantine.words(self._loop.now())
 
-    def hear(self, words: Iterable[EndingWord]) -> None:
+    def apply_peer_updates(self, words: Iterable[EndingWord]) -> None:
         """Take what a peer says."""
         if self._quarantine.hear(words, self._loop.now()):
-            self._loop.call_later(_REVIEW_SECONDS, self._review)
+            self._loop.call_later(_REVIEW_DELAY_SECONDS, self._review)
 
-    def write_again(self) -> None:
+    def rewrite_records(self) -> None:
         """Write what the store may have lost: records of contents in force, and releases."""
-        for content in sorted(self._in_force):
-            if self._keeps(content):
-                self._keep(self._record(content))
+        for content in sorted(self._quarantined_contents):
+            if self._should_write(content):
+                self._enqueue_write(self._build_record(content))
         for content in self._released:
-            if content not in self._in_force:
-                self._keep(SharedRecord(content, b""))
+            if content not in self._quarantined_contents:
+                self._enqueue_write(SharedRecord(content, b""))
 
     def _review(self) -> None:
         """Log what is newly quarantined or released, and keep what was seen here in the store."""
         now = self._loop.now()
         in_force = set(self._quarantine.in_force(now))
-        for content in sorted(in_force - self._in_force):
-            self._log(log_events.CONTENT_QUARANTINED, content)
+        for content in sorted(in_force - self._quarantined_contents):
+            self._log_content(log_events.CONTENT_QUARANTINED, content)
             self._loop.call_later(QUARANTINE_SECONDS, self._review)
-            if self._keeps(content):
-                self._keep(self._record(content))
-        for content in sorted(self._in_force - in_force):
-            self._log(log_events.CONTENT_RELEASED, content)
-            if self._keeps(content):
+            if self._should_write(content):
+                self._enqueue_write(self._build_record(content))
+        for content in sorted(self._quarantined_contents - in_force):
+            self._log_content(log_events.CONTENT_RELEASED, content)
+            if self._should_write(content):
                 self._release(content)
-        self._in_force = in_force
-        self._own &= set(self._quarantine.contents())
+        self._quarantined_contents = in_force
+        self._observed_contents &= set(self._quarantine.contents())
 
     def _release(self, content: str) -> None:
         self._released[content] = None
-        while len(self._released) > _MOST_WAITING:
+        while len(self._released) > _MAX_PENDING_WRITES:
             del self._released[next(iter(self._released))]
-        self._keep(SharedRecord(content, b""))
+        self._enqueue_write(SharedRecord(content, b""))
 
-    def _keeps(self, content: str) -> bool:
+    def _should_write(self, content: str) -> bool:
         """Return whether this daemon writes to the store what becomes of a content.
 
         Those do that saw an end or refuse a request for it before their review, and the first of
         the fleet: the others may be gone by now.
         """
-        return content in self._own or self._first()
+        return content in self._observed_contents or self._is_primary()
 
-    def _log(self, event: log_events.LogEvent, content: str) -> None:
+    def _log_content(self, event: log_events.LogEvent, content: str) -> None:
         word = self._quarantine.word(content, self._loop.now())
         event.write(
             _logger,
@@ -249,53 +249,53 @@
 
     # The store.
 
-    def _record(self, content: str) -> SharedRecord:
+    def _build_record(self, content: str) -> SharedRecord:
         wall = self._loop.clock.now()
         word = self._quarantine.word(content, self._loop.now())
         ends = tuple(
-            KeptEnd(end.endpoint, (wall - timedelta(seconds=end.age)).timestamp(), end.soon)
+            StoredEnd(end.endpoint, (wall - timedelta(seconds=end.age)).timestamp(), end.soon)
             for end in word.ends
         )
         return QuarantineRecord(content, ends).encode()
 
-    def _keep(self, record: SharedRecord) -> None:
-        self._to_write[record.key] = record
-        while len(self._to_write) > _MOST_WAITING:
-            del self._to_write[next(iter(self._to_write))]
+    def _enqueue_write(self, record: SharedRecord) -> None:
+        self._pending_writes[record.key] = record
+        while len(self._pending_writes) > _MAX_PENDING_WRITES:
+            del self._pending_writes[next(iter(self._pending_writes))]
         self._write()
 
     def _write(self) -> None:
         store = self._store
-        if self._writing or not self._to_write or self._submit is None or store is None:
+        if self._writing or not self._pending_writes or self._submit is None or store is None:
             return
-        record = next(iter(self._to_write.values()))
+        record = next(iter(self._pending_writes.values()))
         self._writing = True
-        self._submit(lambda: store.keep_quarantine(record), lambda f: self._wrote(record, f))
+        self._submit(lambda: store.keep_quarantine(record), lambda f: self._write_done(record, f))
 
-    def _wrote(self, record: SharedRecord, future: Future) -> None:
+    def _write_done(self, record: SharedRecord, future: Future) -> None:
         self._writing = False
         error = future.exception()
         if error is None:
-            if self._to_write.get(record.key) is record:
-                del self._to_write[record.key]
+            if self._pending_writes.get(record.key) is record:
+                del self._pending_writes[record.key]
             self._write()
             return
         if not isinstance(error, BrassdrumError):
             raise error
         log_events.QUARANTINE_NOT_KEPT.write(_logger, content=record.key, error=error.message)
-        self._loop.call_later(_STORE_AGAIN_SECONDS, self._write)
+        self._loop.call_later(_STORE_RETRY_SECONDS, self._write)
 
     def _load(self) -> None:
-        if not self._first():
+        if not self._is_primary():
             return
         assert self._submit is not None and self._store is not None
-        self._submit(self._store.quarantines, self._loaded)
+        self._submit(self._store.quarantines, self._load_done)
 
-    def _loaded(self, future: Future[list[SharedRecord]]) -> None:
+    def _load_done(self, future: Future[list[SharedRecord]]) -> None:
         error = future.exception()
         if isinstance(error, BrassdrumError):
             log_events.QUARANTINE_NOT_KEPT.write(_logger, content=None, error=error.message)
-            self._loop.call_later(_STORE_AGAIN_SECONDS, self._load)
+            self._loop.call_later(_STORE_RETRY_SECONDS, self._load)
             return
         wall = self._loop.clock.now().timestamp()
         for record in future.result():
@@ -309,6 +309,6 @@
                     _logger, content=record.key[:40], error=str(damage)
                 )
                 continue
-            self.hear((kept.word(wall),))
+            self.apply_peer_updates((kept.as_peer_update(wall),))
             if not self._quarantine.knows(kept.content):
-                self._keep(SharedRecord(kept.content, b""))
+                self._enqueue_write(SharedRecord(kept.content, b""))
--- a/src/brassdrum/gateway/guards/endings.py
+++ b/src/brassdrum/gateway/guards/exit_detector.py
@@ -12,17 +12,17 @@
 from brassdrum.gateway.net.transport import Transport
 from brassdrum.outcomes.charging import SOON_SECONDS
 
-__all__ = ["EndingChecks", "LostRequest", "Witness"]
+__all__ = ["AffectedRequest", "ExitDetector", "LostRequest"]
 
 # A host without the process refuses a connection within a round trip, 1 to 5 ms between zones; one
 # that says nothing for this long has lost power or is cut off, which is no proof of an ending.
-_CHECK_SECONDS = 0.3
+_PROBE_TIMEOUT_SECONDS = 0.3
 # The streams of one endpoint break within milliseconds of each other; one check serves them all.
-_ENDED_KEPT_SECONDS = 2.0
-_MOST_ENDED = 64
+_EXIT_CACHE_SECONDS = 2.0
+_MAX_CACHED_EXITS = 64
 # A request that is sent in the moment of an end meets a kept connection whose end is not read yet;
 # it breaks within a way to the endpoint and back, 1 to 3 ms.
-_LEAST_HELD_SECONDS = 0.005
+_MIN_HELD_SECONDS = 0.005
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Witness:
+class AffectedRequest:
     """Name a request that an endpoint had when its answer broke; ``began`` if it had begun.
 
     ``lived`` says that the endpoint is known to have lived when the request was sent, ``soon`` that
@@ -55,59 +55,59 @@
     soon: bool = False
 
 
-class EndingChecks:
+class ExitDetector:
     """Open one connection to an endpoint whose answer broke: a refusal proves that it has ended."""
 
     def __init__(
-        self, loop: EventLoop, on_ended: Callable[[EndpointEntry, list[Witness]], None]
+        self, loop: EventLoop, on_ended: Callable[[EndpointEntry, list[AffectedRequest]], None]
     ) -> None:
         self._loop = loop
         self._on_ended = on_ended
-        self._witnesses_by_endpoint: dict[str, list[Witness]] = {}
-        self._broke_at_by_endpoint: dict[str, float] = {}
-        self._ended_at_by_endpoint: dict[str, float] = {}
+        self._requests_by_endpoint: dict[str, list[AffectedRequest]] = {}
+        self._interrupted_at_by_endpoint: dict[str, float] = {}
+        self._exited_at_by_endpoint: dict[str, float] = {}
 
-    def answer_broke(self, entry: EndpointEntry, request: LostRequest) -> None:
+    def response_interrupted(self, entry: EndpointEntry, request: LostRequest) -> None:
         """Take that the answer to a request broke off without the endpoint saying why."""
-        broke_at = self._first_sign(entry.id)
+        broke_at = self._first_interrupted_at(entry.id)
         held = broke_at - request.sent_at
-        lived = request.reached or held >= _LEAST_HELD_SECONDS
-        witness = Witness(
+        lived = request.reached or held >= _MIN_HELD_SECONDS
+        witness = AffectedRequest(
             request.request, request.content, request.began, lived, held < SOON_SECONDS
         )
-        ended_at = self._ended_at_by_endpoint.get(entry.id)
-        if ended_at is not None and self._loop.now() - ended_at < _ENDED_KEPT_SECONDS:
+        ended_at = self._exited_at_by_endpoint.get(entry.id)
+        if ended_at is not None and self._loop.now() - ended_at < _EXIT_CACHE_SECONDS:
             self._on_ended(entry, [witness])
             return
-        witnesses = self._witnesses_by_endpoint.get(entry.id)
+        witnesses = self._requests_by_endpoint.get(entry.id)
         if witnesses is not None:
             witnesses.append(witness)
             return
-        self._witnesses_by_endpoint[entry.id] = [witness]
-        _Check(self._loop, entry.address, lambda refused: self._checked(entry, refused))
+        self._requests_by_endpoint[entry.id] = [witness]
+        _ConnectProbe(self._loop, entry.address, lambda refused: self._probe_done(entry, refused))
 
-    def _first_sign(self, endpoint: str) -> float:
+    def _first_interrupted_at(self, endpoint: str) -> float:
         """Return when the first answer of the endpoint broke in this moment."""
         now = self._loop.now()
-        broke_at = self._broke_at_by_endpoint.get(endpoint)
-        if broke_at is not None and now - broke_at < _ENDED_KEPT_SECONDS:
+        broke_at = self._interrupted_at_by_endpoint.get(endpoint)
+        if broke_at is not None and now - broke_at < _EXIT_CACHE_SECONDS:
             return broke_at
-        self._broke_at_by_endpoint[endpoint] = now
-        while len(self._broke_at_by_endpoint) > _MOST_ENDED:
-            del self._broke_at_by_endpoint[next(iter(self._broke_at_by_endpoint))]
+        self._interrupted_at_by_endpoint[endpoint] = now
+        while len(self._interrupted_at_by_endpoint) > _MAX_CACHED_EXITS:
+            del self._interrupted_at_by_endpoint[next(iter(self._interrupted_at_by_endpoint))]
         return now
 
-    def _checked(self, entry: EndpointEntry, refused: bool) -> None:
-        witnesses = self._witnesses_by_endpoint.pop(entry.id)
+    def _probe_done(self, entry: EndpointEntry, refused: bool) -> None:
+        witnesses = self._requests_by_endpoint.pop(entry.id)
         if not refused:
             return
-        self._ended_at_by_endpoint[entry.id] = self._loop.now()
-        while len(self._ended_at_by_endpoint) > _MOST_ENDED:
-            del self._ended_at_by_endpoint[next(iter(self._ended_at_by_endpoint))]
+        self._exited_at_by_endpoint[entry.id] = self._loop.now()
+        while len(self._exited_at_by_endpoint) > _MAX_CACHED_EXITS:
+            del self._exited_at_by_endpoint[next(iter(self._exited_at_by_endpoint))]
         self._on_ended(entry, witnesses)
 
 
-class _Check:
+class _ConnectProbe:
     """Open a connection, say whether it was refused, and close it."""
 
     def __init__(self, loop: EventLoop, address: str, done: Callable[[bool], None]) -> None:
@@ -122,7 +122,7 @@
             sock.close()
             loop.post(lambda: self._finish(code == errno.ECONNREFUSED))
             return
-        self._timer = loop.call_later(_CHECK_SECONDS, lambda: self._finish(False))
+        self._timer = loop.call_later(_PROBE_TIMEOUT_SECONDS, lambda: self._finish(False))
         self._transport = Transport(loop, sock, self, connecting=True)
 
     def connected(self) -> None:
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -4,7 +4,7 @@
 
 import math
 
-from brassdrum.gateway.guards.endings import LostRequest
+from brassdrum.gateway.guards.exit_detector import LostRequest
 from brassdrum.gateway.model import (
     DeclaredRequest,
     Headers,
@@ -192,7 +192,7 @@
             self._endpoint_refused(attempt, reply)
             return
         self._host.beliefs.endpoint_served(attempt.endpoint)
-        self._host.guard.served(self.content)
+        self._host.guard.request_served(self.content)
         if not self.route.streams:
             self._end(Outcome.SERVED, reply.status, "")
             self._connection.answer(reply.status, reply.headers, bytes(attempt.body))
@@ -250,7 +250,7 @@
             return
         self.sends += 1
         self.tried.add(placement.entry.id)
-        self._host.guard.sent(standing, placement.entry.id)
+        self._host.guard.request_sent(standing, placement.entry.id)
         self._note_placed(placement, standing)
         self.timing.expect(self._host.loop.now(), placement.first_event_ms)
         self._attempt = Attempt(self._host, self, placement)
