--- a/src/brassdrum/gateway/following/failure_detector.py
+++ b/src/brassdrum/gateway/following/failure_detector.py
@@ -1,4 +1,4 @@
-"""Avoid endpoints that fail requests, whatever their health check says."""
+"""Detect failing endpoints from the outcomes of requests, independent of health checks."""
 
 from __future__ import annotations
 
@@ -14,21 +14,23 @@
     "unexpired_notices",
 ]
 
-# A failed connection or a silent endpoint is avoided this long at first, doubling to the longest.
+# Backoff of a suspect endpoint; it doubles with each further failure.
 _INITIAL_BACKOFF_SECONDS = 0.8
 _MAX_BACKOFF_SECONDS = 6.0
-# Two daemons that meet failures at an endpoint within this make it suspect; below the first span.
+# Uncertain failures reported by two daemons within this time make an endpoint suspect. Must be
+# shorter than the initial backoff.
 CORROBORATION_SECONDS = 0.7
-# Weight of one outcome in the running share of failures, and the share that makes it suspect.
+# Exponentially weighted ratio of failed requests.
 _EWMA_WEIGHT = 0.2
 _SUSPECT_FAILURE_RATIO = 0.45
 
 
 @dataclass(frozen=True, slots=True)
 class FailureNotice:
-    """Tell other daemons for how many seconds more an endpoint is avoided, and for how many in all.
+    """Announce a suspect endpoint to peers.
 
-    The next one that meets a failure there goes on from ``span``, whoever that is.
+    ``left`` is the remaining backoff and ``span`` the whole one, in seconds. A daemon that sees the
+    next failure doubles ``span``.
     """
 
     endpoint: str
@@ -36,17 +38,17 @@
     span: float
 
 
-def unexpired_notices(words: Iterable[FailureNotice], seconds: float) -> list[FailureNotice]:
-    """Return which words still count a number of seconds after they were told."""
-    later = [replace(word, left=word.left - seconds) for word in words]
-    return [word for word in later if word.left > 0]
+def unexpired_notices(notices: Iterable[FailureNotice], seconds: float) -> list[FailureNotice]:
+    """Return the notices still valid the given number of seconds after they were sent."""
+    later = [replace(notice, left=notice.left - seconds) for notice in notices]
+    return [notice for notice in later if notice.left > 0]
 
 
-def longest_notices(words: Iterable[FailureNotice]) -> tuple[FailureNotice, ...]:
-    """Return of each endpoint the word that counts for longest, those first."""
+def longest_notices(notices: Iterable[FailureNotice]) -> tuple[FailureNotice, ...]:
+    """Return the longest-lasting notice of each endpoint, longest first."""
     by_endpoint: dict[str, FailureNotice] = {}
-    for word in sorted(words, key=lambda each: (-each.left, each.endpoint)):
-        by_endpoint.setdefault(word.endpoint, word)
+    for notice in sorted(notices, key=lambda each: (-each.left, each.endpoint)):
+        by_endpoint.setdefault(notice.endpoint, notice)
     return tuple(by_endpoint.values())
 
 
@@ -60,29 +62,29 @@
 class _EndpointHealth:
     avoided_until: float = 0.0
     peer_avoided_until: float = 0.0
-    # How long the next failure makes it avoided.
+    # Seconds of backoff after the next failure.
     next_backoff: float = _INITIAL_BACKOFF_SECONDS
-    # How long the present one does.
-    span: float = 0.0
+    # Seconds of the current backoff.
+    backoff: float = 0.0
     failure_ratio: float = 0.0
-    # The last failure that was not certain, and which daemon met it; and the last one met here.
+    # The latest uncertain failure reported by any daemon, and the time of the latest local one.
     uncertain_failure: _UncertainFailure | None = None
     own_uncertain_failure_at: float = -math.inf
 
 
 class FailureDetector:
-    """Keep by endpoint until when it is avoided."""
+    """Track which endpoints are suspect and for how long."""
 
     def __init__(self) -> None:
         self._by_endpoint: dict[str, _EndpointHealth] = {}
 
     def is_suspect(self, endpoint: str, now: float) -> bool:
-        """Return whether an endpoint is avoided while others are sound."""
+        """Return whether an endpoint should be avoided while healthy ones are available."""
         record = self._by_endpoint.get(endpoint)
         return record is not None and now < max(record.avoided_until, record.peer_avoided_until)
 
     def record_success(self, endpoint: str) -> None:
-        """Note a whole answer."""
+        """Record a complete response."""
         record = self._by_endpoint.get(endpoint)
         if record is None:
             return
@@ -90,7 +92,10 @@
         record.next_backoff = max(_INITIAL_BACKOFF_SECONDS, record.next_backoff / 2)
 
     def record_failure(self, endpoint: str, now: float, *, certain: bool) -> bool:
-        """Note a failure; a certain one (no connection, silence) suffices. Return if it is new."""
+        """Record a failure; return whether it makes the endpoint suspect.
+
+        A certain failure (no connection, no response) suffices by itself.
+        """
         if self.record_error_response(endpoint, now):
             return True
         record = self._by_endpoint[endpoint]
@@ -100,19 +105,19 @@
         return self.record_uncertain_failure(endpoint, "", now)
 
     def record_error_response(self, endpoint: str, now: float) -> bool:
-        """Note that an endpoint answered with a failure, which may be the request's fault.
+        """Record an error response; return whether it makes the endpoint suspect.
 
-        Most of many must be. Return whether it is newly suspect.
+        The request may have caused the error, so only a high failure ratio counts.
         """
         record = self._by_endpoint.setdefault(endpoint, _EndpointHealth())
         record.failure_ratio += (1 - record.failure_ratio) * _EWMA_WEIGHT
         return record.failure_ratio >= _SUSPECT_FAILURE_RATIO and self._avoid(record, now)
 
     def record_uncertain_failure(self, endpoint: str, host: str, now: float) -> bool:
-        """Note a failure that is not certain, met at a host; return whether it makes suspect.
+        """Record an uncertain failure seen by a host; return whether it makes the endpoint suspect.
 
-        It does if another daemon has just met one there: answers that are lost by chance are spread
-        over all endpoints, and seldom meet at one.
+        It does if another daemon has just seen one too: randomly lost responses are spread over all
+        endpoints and rarely coincide. An empty ``host`` is this daemon.
         """
         record = self._by_endpoint.setdefault(endpoint, _EndpointHealth())
         before, record.uncertain_failure = record.uncertain_failure, _UncertainFailure(host, now)
@@ -121,7 +126,7 @@
         return now - before.at < CORROBORATION_SECONDS and self._avoid(record, now)
 
     def uncertain_failures(self, now: float) -> list[str]:
-        """Return the endpoints at which this daemon has just met a failure."""
+        """Return the endpoints that recently failed a request of this daemon."""
         return [
             endpoint
             for endpoint, record in self._by_endpoint.items()
@@ -132,32 +137,32 @@
         if now < record.avoided_until:
             return False
         if now - max(record.avoided_until, record.peer_avoided_until) > _MAX_BACKOFF_SECONDS:
-            # It was sound for a while: this is another trouble, not the same one going on.
+            # The endpoint was healthy for a while, so the backoff starts over.
             record.next_backoff = _INITIAL_BACKOFF_SECONDS
         record.uncertain_failure = None
         record.avoided_until = now + record.next_backoff
-        record.span = record.next_backoff
+        record.backoff = record.next_backoff
         record.next_backoff = min(_MAX_BACKOFF_SECONDS, record.next_backoff * 2)
         return True
 
-    def apply_notice(self, word: FailureNotice, now: float) -> None:
-        """Take a peer's word that an endpoint fails; it is not passed on as an own belief."""
-        record = self._by_endpoint.setdefault(word.endpoint, _EndpointHealth())
+    def apply_notice(self, notice: FailureNotice, now: float) -> None:
+        """Avoid an endpoint that a peer reports as failing; ``notices`` omits such reports."""
+        record = self._by_endpoint.setdefault(notice.endpoint, _EndpointHealth())
         record.peer_avoided_until = max(
-            record.peer_avoided_until, now + min(word.left, _MAX_BACKOFF_SECONDS)
+            record.peer_avoided_until, now + min(notice.left, _MAX_BACKOFF_SECONDS)
         )
-        record.next_backoff = max(record.next_backoff, min(_MAX_BACKOFF_SECONDS, word.span * 2))
+        record.next_backoff = max(record.next_backoff, min(_MAX_BACKOFF_SECONDS, notice.span * 2))
 
     def notices(self, now: float) -> list[FailureNotice]:
-        """Return which endpoints are avoided for what this daemon met, to tell others."""
+        """Return notices of the endpoints made suspect by failures that this daemon saw."""
         return [
-            FailureNotice(endpoint, record.avoided_until - now, record.span)
+            FailureNotice(endpoint, record.avoided_until - now, record.backoff)
             for endpoint, record in self._by_endpoint.items()
             if now < record.avoided_until
         ]
 
     def retain(self, endpoints: set[str]) -> None:
-        """Forget endpoints that are gone."""
+        """Forget all endpoints but the given ones."""
         for endpoint in list(self._by_endpoint):
             if endpoint not in endpoints:
                 del self._by_endpoint[endpoint]
