--- a/src/brassdrum/gateway/following/__init__.py
+++ b/src/brassdrum/gateway/following/__init__.py
@@ -1,1 +1,1 @@
-"""Follow the store and peers, and keep what is believed of endpoints."""
+"""Track configuration and endpoints from the store, peers, and request outcomes."""
--- a/src/brassdrum/gateway/following/restored_list.py
+++ b/src/brassdrum/gateway/following/restored_list.py
@@ -1,8 +1,8 @@
-"""Judge lists of a store that came back from a copy some seconds old; pure decisions.
+"""Filter stale endpoint lists after the store was restored from a backup.
 
-What the endpoints wrote after the copy was made comes again, but later. Until then the list shows
-endpoints as they were: ready ones that have left since, earlier incarnations, and none of those
-that joined since.
+Until the endpoints have written their entries again, a restored list shows them as they were at the
+time of the backup: endpoints that have since drained appear ready, restarted ones appear with an
+earlier incarnation, and new ones are missing. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 __all__ = ["RestoredListFilter"]
 
-# A stale entry lapses after three heartbeats of 1.2 s, once the endpoints reach the store again,
-# which takes 2.2 s.
+# Endpoints reach the restored store within 2.2 s; a stale entry expires after three missed
+# heartbeats of 1.2 s.
 _STALE_ENTRY_SECONDS = 6.0
-# Entries that the copy lacks are written again within about 2 s.
+# Endpoints write entries missing from the backup again within this time.
 _REWRITE_SECONDS = 2.2
-# No copy is older than this.
+# Upper limit of a backup's age.
 _MAX_COPY_AGE_SECONDS = 60.0
 
 
 class RestoredListFilter:
-    """Correct a restored list by what was known before."""
+    """Correct a restored list with the state known before the restore."""
 
     def __init__(self) -> None:
         self.era: int | None = None
@@ -33,10 +33,10 @@
         self._gone_at_by_id: dict[str, float] = {}
 
     def update_era(self, era: int | None, now: float) -> bool:
-        """Take the era of the store; return whether it has come back from a copy.
+        """Set the era of the store; return whether the store was restored from a backup.
 
-        A daemon that reads it for the first time cannot know: it takes the list for a restored one,
-        but has nothing that could be missing from it.
+        On the first read a daemon cannot tell: it treats the list as possibly stale, but knows no
+        endpoints that could be missing from it.
         """
         if era is None or (self.era is not None and era <= self.era):
             return False
@@ -48,15 +48,15 @@
         return returned
 
     def is_older_era(self, era: int | None) -> bool:
-        """Return whether an era ended before the one that is known."""
+        """Return whether an era precedes the known one."""
         return self.era is not None and era is not None and era < self.era
 
     def may_be_missing(self, now: float) -> bool:
-        """Return whether an endpoint that is not listed may still be written again."""
+        """Return whether an unlisted endpoint may still be about to write its entry again."""
         return now < self._rewritten_at
 
     def mark_gone(self, endpoint: str, now: float) -> None:
-        """Note that an incarnation of an endpoint has ended."""
+        """Record that an incarnation of an endpoint has ended."""
         self._gone_at_by_id[endpoint] = now
         for name, gone_at in list(self._gone_at_by_id.items()):
             if now - gone_at <= _MAX_COPY_AGE_SECONDS:
@@ -66,7 +66,7 @@
     def correct(
         self, listed: dict[str, EndpointEntry], known: dict[str, EndpointEntry], now: float
     ) -> dict[str, EndpointEntry]:
-        """Return a list without what is known to be over."""
+        """Return the list with ended and draining incarnations corrected."""
         if now >= self._stale_until:
             return listed
         newest_by_name: dict[str, EndpointEntry] = {}
