--- a/src/brassdrum/gateway/following/endpoint_monitor.py
+++ b/src/brassdrum/gateway/following/endpoint_monitor.py
@@ -1,4 +1,4 @@
-"""Hold what a daemon believes of endpoints and configuration, and log each change of it."""
+"""Track the health of endpoints, apply updates from peers, and log state changes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class EndpointMonitor:
-    """Take in what own requests, the store and peers say, and tell peers."""
+    """Combine request outcomes, store reads and peer updates into the routing state."""
 
     def __init__(
         self,
@@ -39,33 +39,33 @@
         self._follower: Follower | None = None
 
     def set_follower(self, follower: Follower) -> None:
-        """Set who reads the store."""
+        """Set the follower that reads the store."""
         self._follower = follower
 
     def list_age(self) -> float | None:
-        """Return the seconds since the list of endpoints was read."""
+        """Return the seconds since the endpoint list was read, None before the first read."""
         return None if self._follower is None else self._follower.age()
 
     def is_suspect(self, endpoint: str) -> bool:
-        """Return whether an endpoint is avoided while others are sound."""
+        """Return whether an endpoint should be avoided while healthy ones are available."""
         return self._failure_detector.is_suspect(endpoint, self._loop.now())
 
     def endpoint_failed(self, endpoint: str, *, certain: bool, detail: str) -> None:
-        """Avoid an endpoint that fails; tell peers of what is certain."""
+        """Record a failure; a certain one makes the endpoint suspect by itself."""
         if self._failure_detector.record_failure(endpoint, self._loop.now(), certain=certain):
             self._log_suspect(endpoint, detail, certain)
 
     def endpoint_answered_failure(self, endpoint: str, detail: str) -> None:
-        """Avoid an endpoint most of whose answers are failures."""
+        """Record an error response; the endpoint is avoided if most responses are errors."""
         if self._failure_detector.record_error_response(endpoint, self._loop.now()):
             self._log_suspect(endpoint, detail, False)
 
     def endpoint_served(self, endpoint: str) -> None:
-        """Note a whole answer."""
+        """Record a complete response."""
         self._failure_detector.record_success(endpoint)
 
     def address_reused(self, endpoint: str) -> None:
-        """Forget an endpoint whose address answers as another one."""
+        """Remove an endpoint whose address now belongs to another one."""
         entry = self._knowledge.endpoints_by_id.get(endpoint)
         self._knowledge.address_reused(endpoint)
         if entry is not None:
@@ -75,7 +75,7 @@
             )
 
     def build_peer_update(self) -> PeerBelief:
-        """Return what peers are told."""
+        """Return the state that is sent to peers."""
         now = self._loop.now()
         return PeerBelief(
             self._knowledge.version,
@@ -93,26 +93,28 @@
         )
 
     def apply_peer_update(self, host: str, belief: PeerBelief) -> None:
-        """Take in which endpoints and contents of requests a peer names."""
+        """Apply a peer's reports on failing and draining endpoints and on quarantined contents."""
         now = self._loop.now()
         self._guard.apply_peer_updates(belief.endings)
         for failing in belief.failing:
             self._failure_detector.apply_notice(failing, now)
         for endpoint in belief.doubts:
             if self._failure_detector.record_uncertain_failure(endpoint, host, now):
-                self._log_suspect(endpoint, f"it failed here or elsewhere, and at {host}", False)
+                self._log_suspect(
+                    endpoint, f"failures seen by this or another daemon and by {host}", False
+                )
         for word in belief.leaving:
             if self._knowledge.mark_draining(word.endpoint, now - word.age):
                 entry = self._knowledge.endpoints_by_id[word.endpoint]
                 self._log_endpoint_change(EndpointChange(entry.id, entry.service, "draining"), host)
 
     def compare_with_peer(self, host: str, belief: PeerBelief) -> None:
-        """Compare a peer's knowledge with own."""
+        """Fetch the state of a peer if it is newer."""
         assert self._follower is not None
         self._follower.compare_with_peer(host, belief)
 
     def on_configuration_changed(self, earlier: int, source: str) -> None:
-        """Log the configuration that came into force."""
+        """Log the new configuration and notify the daemon."""
         configuration = self._knowledge.configuration
         assert configuration is not None
         log_events.CONFIGURED.write(
@@ -126,7 +128,7 @@
         self._on_changed()
 
     def on_endpoints_changed(self, changes: list[EndpointChange], source: str) -> None:
-        """Log the endpoints that joined or left."""
+        """Log changed endpoints, drop connections of restarted ones, and notify the daemon."""
         for change in changes:
             self._log_endpoint_change(change, source)
             if change.change == "restarted" and change.address is not None:
