--- a/src/brassdrum/gateway/following/follower.py
+++ b/src/brassdrum/gateway/following/follower.py
@@ -1,4 +1,8 @@
-"""Follow the store on behalf of all daemons: whoever's knowledge grows old first reads it."""
+"""Poll the store on behalf of the fleet and exchange snapshots with peers.
+
+The daemons have staggered read intervals, so normally only the first one in order reads the store;
+the others copy its state.
+"""
 
 from __future__ import annotations
 
@@ -30,39 +34,36 @@
 
 _logger = logging.getLogger(__name__)
 KNOWLEDGE_PATH = "/knowledge"
-# Reads are spaced so that a change is known well inside the bound on draining endpoints.
+# Read intervals as shares of the staleness bound, by the daemon's rank. Rank 0 reads first; the
+# interval of the other ranks grows from the second share towards the last with this scale.
 _FIRST_READ_SHARE = 0.28
-# The daemon that is next in order reads when the first one is this much late, the others one after
-# the other behind it: the share of the bound grows to the latest, by two thirds over this many.
 _SECOND_READ_SHARE = 0.34
 _LAST_READ_SHARE = 0.45
 _RANK_SCALE = 6.0
-# Members of groups read only when all that speak for one are late, one after the other: with 195
-# daemons and a bound of 4 s one each 4 ms, and the first one's word is there after 0.1 s.
+# Group members read only after all speakers are late, staggered up to this share.
 _LAST_MEMBER_READ_SHARE = 0.65
-# While the store does not answer, a group asks it about as often as this many daemons alone.
+# Larger groups scale the retry delay, so that a group retries as often as this many daemons.
 _UNSCALED_GROUP_SIZE = 2.0
-# After a failed read the store is left alone for this long; all calls are priced, refused ones too.
+# Delay after a failed read; failed calls to the store are billed too.
 _READ_RETRY_SECONDS = 0.35
 _PULL_TIMEOUT_SECONDS = 1.0
 _PULL_RETRY_SECONDS = 0.25
-# A configuration of 300 routes packs to a tenth at the fastest level.
+# The fastest level of zlib.
 _COMPRESSION_LEVEL = 1
 _MIN_CHECK_SECONDS = 0.02
 _MAX_CHECK_SECONDS = 0.2
-# A daemon that could not announce itself tries again after this; peers' lists carry it meanwhile.
 _ANNOUNCE_RETRY_SECONDS = 2.0
 _STORE_THREADS = 3
-# Entries of other writers that are remembered as logged: 64 of 200 bytes are 13 KB.
+# Limit on remembered invalid entries, which are logged once each.
 _MAX_REJECTED_ENTRIES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Hold all that one read of the store or of a peer brought.
+    """The result of one read from the store or a peer.
 
-    ``leaving`` names endpoints that a peer knows to leave by word, whatever their record says.
-    ``era`` is that of the store.
+    ``leaving`` names endpoints that are draining whatever their record says. ``era`` is that of the
+    store.
     """
 
     configuration: SharedRecord | None
@@ -71,7 +72,7 @@
     era: int | None = None
 
     def encode(self) -> bytes:
-        """Return the form that daemons hand to each other."""
+        """Return the compressed form that is sent to peers."""
         value = None if self.configuration is None else self.configuration.value
         content = {
             "configuration": None if value is None else base64.b64encode(value).decode(),
@@ -85,11 +86,11 @@
 
     @classmethod
     def decode(cls, data: bytes) -> Snapshot:
-        """Return what a peer sent, or raise ``ValueError``."""
+        """Decode a peer's snapshot, or raise ``ValueError``."""
         try:
             content = json.loads(zlib.decompress(data))
         except zlib.error as error:
-            raise ValueError(f"a peer's snapshot is damaged: {error}") from error
+            raise ValueError(f"cannot decompress the peer's snapshot: {error}") from error
         value = content["configuration"]
         record = None if value is None else SharedRecord("config", base64.b64decode(value))
         endpoints = tuple(
@@ -99,7 +100,7 @@
 
 
 class Follower:
-    """Read the store when own knowledge grows old, and peers when theirs is newer."""
+    """Read the store when the local state becomes stale, and peers that have newer state."""
 
     def __init__(
         self,
@@ -135,25 +136,25 @@
         self._encoded_version: tuple[int, str, int | None] = (-1, "", None)
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Take the times within which changes must be known."""
+        """Set the staleness bound from the times within which changes must take effect."""
         self._bound = min(bounds.drain, bounds.configuration)
 
     def start(self, peers: Peers, announce: Callable[[], list[DaemonAddress]]) -> None:
-        """Begin to follow; ``announce`` blocks and returns the addresses of other daemons."""
+        """Start polling; ``announce`` blocks and returns the addresses of other daemons."""
         self._peers = peers
         self._announce = announce
         self.submit(announce, self._announce_done)
         self._check_read_due()
 
     def close(self) -> None:
-        """Stop following."""
+        """Stop polling."""
         if self._timer is not None:
             self._timer.cancel()
-        # What waits for a thread is done yet: a record of a quarantined content may be among it.
+        # Queued calls still run; they may write quarantine records.
         self._executor.shutdown(wait=False)
 
     def snapshot(self) -> bytes:
-        """Return what this daemon knows, for peers; it is packed once for all that ask."""
+        """Return the encoded state for peers, cached until the state changes."""
         known = self._knowledge
         mark = (known.version, known.digest, known.era)
         if self._encoded_snapshot is None or self._encoded_version != mark:
@@ -167,20 +168,20 @@
         return self._encoded_snapshot
 
     def age(self) -> float | None:
-        """Return the seconds since what is known was read from the store."""
+        """Return the seconds since the current state was read from the store."""
         if self._knowledge.read_at is None:
             return None
         return max(0.0, self._loop.now() - self._knowledge.read_at)
 
     def compare_with_peer(self, host: str, belief: PeerBelief) -> None:
-        """Compare a peer's knowledge with own; fetch it where it is newer."""
+        """Fetch the state of a peer if it is newer than the local one."""
         if belief.age is None:
             return
         read_at = self._loop.now() - belief.age
         known = self._knowledge
         self._update_era(belief.era, host)
-        # A list from before the store's return is older, whenever it was read; a configuration is
-        # as new as its version says.
+        # Lists are comparable only within an era: one from before a restore is older, whenever it
+        # was read. Configurations are ordered by their version alone.
         same_era = belief.era == known.era
         if same_era and belief.version == known.version:
             known.confirm_read(belief.digest, read_at, belief.reads)
@@ -195,7 +196,7 @@
             return
         assert self._peers is not None
         delay = self._peers.fetch_delay()
-        # One peer at a time is asked; another one when it does not answer soon.
+        # Pull from one peer at a time; try another one if it doesn't respond soon.
         self._pull_not_before = self._loop.now() + delay + _PULL_RETRY_SECONDS
         self._loop.call_later(delay, lambda: self._begin_pull(host, read_at, belief.reads))
 
@@ -212,7 +213,8 @@
         if now >= max(due_at, self._read_not_before) and not self._reading:
             self._reading = True
             self.submit(lambda: self._read(now), lambda future: self._read_done(now, future))
-        # Exactly when it is due: daemons whose turns lie 35 ms apart must not read in one step.
+        # Wake up exactly when the read is due: daemons that are due a few milliseconds apart
+        # shouldn't read simultaneously.
         pause = min(_MAX_CHECK_SECONDS, max(_MIN_CHECK_SECONDS, due_at - now))
         self._timer = self._loop.call_later(pause, self._check_read_due)
 
@@ -228,9 +230,9 @@
         return self._bound * (_SECOND_READ_SHARE + (_LAST_READ_SHARE - _SECOND_READ_SHARE) * late)
 
     def _read(self, _sent: float) -> Snapshot:
-        # The list comes first: what it says is then at least as old as its recorded time.
+        # Read the list first, so that it is never older than its recorded time.
         endpoints = tuple(self._store.endpoints())
-        # Asked for after the list: one that is older than its era is only judged more carefully.
+        # Taken after the list: a list that is older than its era is only filtered more strictly.
         era = self._store.era
         return Snapshot(self._store.configuration(), endpoints, era=era)
 
@@ -262,7 +264,7 @@
         finally:
             pool.close()
         if status != 200:
-            raise ValueError(f"the peer answered {status}")
+            raise ValueError(f"the peer responded with status {status}")
         return Snapshot.decode(body)
 
     def _pull_done(self, host: str, read_at: float, reads: int, future: Future[Snapshot]) -> None:
@@ -293,7 +295,7 @@
             except InvalidDocumentError as error:
                 self._log_rejected_entry(record, error.message)
                 continue
-            # A record may be older than the word: what a list calls ready would be used again.
+            # The record may be older than the report that the endpoint is draining.
             leaves = entry.draining or entry.id in snapshot.leaving
             entries.append(replace(entry, draining=leaves))
             self._records_by_id[entry.id] = record
@@ -305,7 +307,7 @@
             del self._records_by_id[name]
 
     def _log_rejected_entry(self, record: SharedRecord, error: str) -> None:
-        """Log an entry that names no endpoint, once until it changes: it is read each second."""
+        """Log an invalid entry once until it changes, not at each read."""
         if self._rejected_value_by_key.get(record.key) == record.value:
             return
         self._rejected_value_by_key[record.key] = record.value
@@ -330,7 +332,7 @@
             self._on_configured(earlier, source)
 
     def _update_era(self, era: int | None, source: str) -> None:
-        """Write again what a copy may lack once the store has come back from one."""
+        """Rewrite records that may be missing after the store was restored from a backup."""
         earlier = self._knowledge.era
         if self._knowledge.update_era(era, self._loop.now()):
             log_events.STORE_RESTORED.write(_logger, era=era, earlier=earlier, source=source)
@@ -360,6 +362,6 @@
         self._peers.learn(daemons)
 
     def submit(self, work: Callable, done: Callable[[Future], None]) -> None:
-        """Run a blocking call in a thread of the store's; ``done`` runs in the loop's thread."""
+        """Run a blocking call in the store's thread pool; ``done`` runs in the loop's thread."""
         future = self._executor.submit(work)
         future.add_done_callback(lambda each: self._loop.post(lambda: done(each)))
--- a/src/brassdrum/gateway/following/routing_state.py
+++ b/src/brassdrum/gateway/following/routing_state.py
@@ -29,8 +29,7 @@
     """Describe a change of an endpoint.
 
     ``change`` is ``joined``, ``draining``, ``back`` (no longer draining), ``gone`` or
-    ``restarted``.
-    An endpoint that restarts under its name is ``restarted``; its new incarnation has ``joined``.
+    ``restarted``; the new incarnation of a restarted endpoint has ``joined``.
     """
 
     endpoint: str
