--- a/src/brassdrum/gateway/guards/__init__.py
+++ b/src/brassdrum/gateway/guards/__init__.py
@@ -1,1 +1,1 @@
-"""Keep requests that end endpoints away from them."""
+"""Protect endpoints from requests that crash them."""
--- a/src/brassdrum/gateway/guards/crash_guard.py
+++ b/src/brassdrum/gateway/guards/crash_guard.py
@@ -1,4 +1,4 @@
-"""Keep requests that end endpoints away from them: what is decided, told, logged and kept."""
+"""Quarantine requests that crash endpoints; synchronize decisions with peers and the store."""
 
 from __future__ import annotations
 
@@ -27,17 +27,14 @@
 __all__ = ["CrashGuard", "QuarantineRecord"]
 
 _logger = logging.getLogger(__name__)
-# A request that may end its endpoint does so within half a second after it began to run; for this
-# long nothing else is sent there.
+# A request that crashes its endpoint does so soon after it starts. No other request is sent to the
+# endpoint of a suspect one during this time.
 _ISOLATION_SECONDS = 1.0
-# After the settling time and a moment for timers that fire late.
+# Slightly longer than the settling time, because timers may fire late.
 _REVIEW_DELAY_SECONDS = SETTLE_SECONDS + 0.01
-# Daemons that start together hear each other's news within this; the first of them then asks the
-# store, one call for the whole fleet.
+# Daemons that start together have found each other by then, so only the primary loads the records.
 _LOAD_DELAY_SECONDS = 1.0
-# A store that does not answer is asked again after this.
 _STORE_RETRY_SECONDS = 2.0
-# Records that wait for the store; each is that of one quarantined content.
 _MAX_PENDING_WRITES = 64
 
 Submit = Callable[[Callable[[], object], Callable[[Future], None]], None]
@@ -45,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredEnd:
-    """Hold an end as the store keeps it, at a time in Unix seconds; ``soon`` as in ``SeenEnd``."""
+    """The exit of an endpoint in Unix time, as stored; ``soon`` as in ``SeenEnd``."""
 
     endpoint: int
     at: float
@@ -54,19 +51,19 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantineRecord:
-    """Hold what lies in the store of one quarantined content; times in Unix seconds."""
+    """The stored record of a quarantined content."""
 
     content: str
     ends: tuple[StoredEnd, ...]
 
     def encode(self) -> SharedRecord:
-        """Return the form that lies in the store."""
+        """Return the stored form."""
         ends = [[end.endpoint, round(end.at, 1), int(end.soon)] for end in self.ends]
         return SharedRecord(self.content, json.dumps({"ends": ends}).encode())
 
     @classmethod
     def decode(cls, record: SharedRecord) -> QuarantineRecord:
-        """Return a record, or raise ``ValueError``."""
+        """Decode a stored record, or raise ``ValueError``."""
         try:
             bytes.fromhex(record.key)
             ends = tuple(
@@ -75,12 +72,12 @@
             )
         except (KeyError, TypeError, ValueError) as error:
             raise ValueError(
-                f"quarantine record {record.key[:40]!r} is damaged: {error}"
+                f"cannot decode quarantine record {record.key[:40]!r}: {error}"
             ) from error
         return cls(record.key, ends)
 
     def as_peer_update(self, now: float) -> EndingWord:
-        """Return it as another daemon would tell it; a clock that stepped makes no end newer."""
+        """Return the record as a peer update; exits in the future count as happening now."""
         return EndingWord(
             self.content,
             tuple(SeenEnd(end.endpoint, max(0.0, now - end.at), end.soon) for end in self.ends),
@@ -88,7 +85,7 @@
 
 
 class CrashGuard:
-    """Decide on requests whose contents were at endpoints that ended."""
+    """Decide where requests may run whose contents were in flight at endpoints that exited."""
 
     def __init__(self, loop: EventLoop, table: LoadTable) -> None:
         self._loop = loop
@@ -101,12 +98,12 @@
         self._quarantined_contents: set[str] = set()
         self._observed_contents: set[str] = set()
         self._pending_writes: dict[str, SharedRecord] = {}
-        # The last ones that were released; a copy of the store may show them again.
+        # Recently released contents, which may reappear when the store is restored from a backup.
         self._released: dict[str, None] = {}
         self._writing = False
 
     def start(self, store: ControlStore, submit: Submit, is_primary: Callable[[], bool]) -> None:
-        """Begin to use the store through ``submit``; ``is_primary`` says who loads it."""
+        """Start using the store; only the primary daemon of the fleet loads the records."""
         self._store = store
         self._submit = submit
         self._is_primary = is_primary
@@ -118,23 +115,23 @@
         return len(self._quarantined_contents)
 
     def standing(self, content: str, tried: Collection[str] = ()) -> Standing:
-        """Return how a request that was sent to the endpoints ``tried`` is treated now."""
+        """Return how to treat a request that was already sent to the endpoints ``tried``."""
         own_ends = set(map(endpoint_key, tried))
         standing = self._quarantine.standing(content, self._loop.now(), own_ends)
         if standing is Standing.QUARANTINED and content not in self._quarantined_contents:
-            # The record is on its way before a caller hears of it: this daemon may be replaced
-            # before its next review.
+            # Write the record before the caller is refused: this daemon may be replaced before its
+            # next review.
             self._observed_contents.add(content)
             self._review()
         return standing
 
     def settles_in(self, content: str, tried: Collection[str] = ()) -> float:
-        """Return after how many seconds it is known how a request is treated; as ``standing``."""
+        """Return the seconds until the standing of a request is decided; arguments as there."""
         own_ends = set(map(endpoint_key, tried))
         return self._quarantine.settles_in(content, self._loop.now(), own_ends)
 
     def seconds_left(self, content: str) -> float:
-        """Return for how long a content stays quarantined."""
+        """Return the remaining seconds of a content's quarantine."""
         return self._quarantine.seconds_left(content, self._loop.now())
 
     def eligible_endpoints(
@@ -143,10 +140,10 @@
         entries: Sequence[EndpointEntry],
         avoided: Callable[[str], bool],
     ) -> list[EndpointEntry]:
-        """Return where a request may be sent: a suspect one alone, others not beside it.
+        """Return the endpoints that may receive a request; suspect requests run in isolation.
 
-        ``avoided`` says which endpoints fail: those that have ended look idle. Where nothing else
-        is left all are: a suspect request may be a healthy one.
+        ``avoided`` tells which endpoints fail, because exited ones appear idle. If no endpoint is
+        left, all are returned: a suspect request may still be harmless.
         """
         now = self._loop.now()
         if standing is Standing.SUSPECT:
@@ -165,40 +162,40 @@
         return free or list(entries)
 
     def request_sent(self, standing: Standing, endpoint: str) -> None:
-        """Note where a request was sent."""
+        """Record the endpoint that a request was sent to."""
         if standing is Standing.SUSPECT:
             self._isolated_until_by_endpoint[endpoint] = self._loop.now() + _ISOLATION_SECONDS
 
-    def endpoint_ended(self, entry: EndpointEntry, witnesses: Iterable[AffectedRequest]) -> None:
-        """Note which contents were at an endpoint that ended."""
+    def endpoint_ended(self, entry: EndpointEntry, requests: Iterable[AffectedRequest]) -> None:
+        """Record the requests that were in flight at an endpoint when it exited."""
         now = self._loop.now()
-        for witness in witnesses:
+        for request in requests:
             self._quarantine.ended(
-                witness.content,
+                request.content,
                 endpoint_key(entry.id),
                 now,
-                soon=witness.soon,
-                lived=witness.lived,
+                soon=request.soon,
+                lived=request.lived,
             )
-            self._observed_contents.add(witness.content)
+            self._observed_contents.add(request.content)
         self._loop.call_later(_REVIEW_DELAY_SECONDS, self._review)
 
     def request_served(self, content: str) -> None:
-        """Note a whole answer."""
+        """Record a complete response."""
         if self._quarantine.served(content, self._loop.now()):
             self._review()
 
     def peer_updates(self) -> tuple[EndingWord, ...]:
-        """Return what peers are told."""
+        """Return the observations to send to peers."""
         return self._quarantine.words(self._loop.now())
 
     def apply_peer_updates(self, words: Iterable[EndingWord]) -> None:
-        """Take what a peer says."""
+        """Apply the observations of a peer."""
         if self._quarantine.hear(words, self._loop.now()):
             self._loop.call_later(_REVIEW_DELAY_SECONDS, self._review)
 
     def rewrite_records(self) -> None:
-        """Write what the store may have lost: records of contents in force, and releases."""
+        """Rewrite quarantine records and releases that the store may have lost."""
         for content in sorted(self._quarantined_contents):
             if self._should_write(content):
                 self._enqueue_write(self._build_record(content))
@@ -207,7 +204,7 @@
                 self._enqueue_write(SharedRecord(content, b""))
 
     def _review(self) -> None:
-        """Log what is newly quarantined or released, and keep what was seen here in the store."""
+        """Log and store which contents are newly quarantined or released."""
         now = self._loop.now()
         in_force = set(self._quarantine.in_force(now))
         for content in sorted(in_force - self._quarantined_contents):
@@ -229,10 +226,10 @@
         self._enqueue_write(SharedRecord(content, b""))
 
     def _should_write(self, content: str) -> bool:
-        """Return whether this daemon writes to the store what becomes of a content.
+        """Return whether this daemon writes the records of a content.
 
-        Those do that saw an end or refuse a request for it before their review, and the first of
-        the fleet: the others may be gone by now.
+        Daemons that observed an exit or refused a request with the content do. The primary daemon
+        always does, in case they have stopped.
         """
         return content in self._observed_contents or self._is_primary()
 
@@ -247,8 +244,6 @@
             seconds_left=round(self.seconds_left(content), 1),
         )
 
-    # The store.
-
     def _build_record(self, content: str) -> SharedRecord:
         wall = self._loop.clock.now()
         word = self._quarantine.word(content, self._loop.now())
@@ -300,7 +295,7 @@
         wall = self._loop.clock.now().timestamp()
         for record in future.result():
             if not record.value:
-                # Released: the store hands out the empty record until it has tidied up.
+                # Released; the store returns empty records until it purges them.
                 continue
             try:
                 kept = QuarantineRecord.decode(record)
--- a/src/brassdrum/gateway/guards/exit_detector.py
+++ b/src/brassdrum/gateway/guards/exit_detector.py
@@ -1,4 +1,4 @@
-"""Find out whether an endpoint's process has ended when an answer of it breaks off."""
+"""Detect whether an endpoint's process has exited when one of its responses is interrupted."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 __all__ = ["AffectedRequest", "ExitDetector", "LostRequest"]
 
-# A host without the process refuses a connection within a round trip, 1 to 5 ms between zones; one
-# that says nothing for this long has lost power or is cut off, which is no proof of an ending.
+# A host whose process has exited refuses connections within a round trip. A timeout may also be a
+# power loss or a network partition and proves nothing about the process.
 _PROBE_TIMEOUT_SECONDS = 0.3
-# The streams of one endpoint break within milliseconds of each other; one check serves them all.
+# The streams of an endpoint are interrupted nearly simultaneously and share one probe.
 _EXIT_CACHE_SECONDS = 2.0
 _MAX_CACHED_EXITS = 64
-# A request that is sent in the moment of an end meets a kept connection whose end is not read yet;
-# it breaks within a way to the endpoint and back, 1 to 3 ms.
+# A request sent on a pooled connection that the endpoint has just closed fails within a round trip
+# and doesn't show that the endpoint was alive.
 _MIN_HELD_SECONDS = 0.005
 
 
 @dataclass(frozen=True, slots=True)
 class LostRequest:
-    """Name a request whose answer broke off, and when it was sent.
+    """A request whose response was interrupted.
 
-    ``reached`` says that the endpoint is proven to have lived then: it took a new connection, or
-    began to answer.
+    ``began`` tells whether the response had started. ``reached`` tells whether the endpoint was
+    provably alive: it accepted a new connection or started to respond.
     """
 
     request: str
@@ -42,10 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AffectedRequest:
-    """Name a request that an endpoint had when its answer broke; ``began`` if it had begun.
+    """A request that was in flight at an endpoint when the endpoint exited.
 
-    ``lived`` says that the endpoint is known to have lived when the request was sent, ``soon`` that
-    it ended within a moment after that.
+    ``began`` tells whether its response had started, ``lived`` whether the endpoint was known to be
+    alive when the request was sent, and ``soon`` whether it exited shortly after that.
     """
 
     request: str
@@ -56,59 +56,59 @@
 
 
 class ExitDetector:
-    """Open one connection to an endpoint whose answer broke: a refusal proves that it has ended."""
+    """Probe an endpoint after an interrupted response; a refused connection proves its exit."""
 
     def __init__(
-        self, loop: EventLoop, on_ended: Callable[[EndpointEntry, list[AffectedRequest]], None]
+        self, loop: EventLoop, on_exited: Callable[[EndpointEntry, list[AffectedRequest]], None]
     ) -> None:
         self._loop = loop
-        self._on_ended = on_ended
+        self._on_exited = on_exited
         self._requests_by_endpoint: dict[str, list[AffectedRequest]] = {}
         self._interrupted_at_by_endpoint: dict[str, float] = {}
         self._exited_at_by_endpoint: dict[str, float] = {}
 
     def response_interrupted(self, entry: EndpointEntry, request: LostRequest) -> None:
-        """Take that the answer to a request broke off without the endpoint saying why."""
-        broke_at = self._first_interrupted_at(entry.id)
-        held = broke_at - request.sent_at
+        """Record that a response was interrupted without an error from the endpoint."""
+        interrupted_at = self._first_interrupted_at(entry.id)
+        held = interrupted_at - request.sent_at
         lived = request.reached or held >= _MIN_HELD_SECONDS
-        witness = AffectedRequest(
+        affected = AffectedRequest(
             request.request, request.content, request.began, lived, held < SOON_SECONDS
         )
-        ended_at = self._exited_at_by_endpoint.get(entry.id)
-        if ended_at is not None and self._loop.now() - ended_at < _EXIT_CACHE_SECONDS:
-            self._on_ended(entry, [witness])
+        exited_at = self._exited_at_by_endpoint.get(entry.id)
+        if exited_at is not None and self._loop.now() - exited_at < _EXIT_CACHE_SECONDS:
+            self._on_exited(entry, [affected])
             return
-        witnesses = self._requests_by_endpoint.get(entry.id)
-        if witnesses is not None:
-            witnesses.append(witness)
+        affected_requests = self._requests_by_endpoint.get(entry.id)
+        if affected_requests is not None:
+            affected_requests.append(affected)
             return
-        self._requests_by_endpoint[entry.id] = [witness]
+        self._requests_by_endpoint[entry.id] = [affected]
         _ConnectProbe(self._loop, entry.address, lambda refused: self._probe_done(entry, refused))
 
     def _first_interrupted_at(self, endpoint: str) -> float:
-        """Return when the first answer of the endpoint broke in this moment."""
+        """Return the time of the first in a burst of interrupted responses of the endpoint."""
         now = self._loop.now()
-        broke_at = self._interrupted_at_by_endpoint.get(endpoint)
-        if broke_at is not None and now - broke_at < _EXIT_CACHE_SECONDS:
-            return broke_at
+        interrupted_at = self._interrupted_at_by_endpoint.get(endpoint)
+        if interrupted_at is not None and now - interrupted_at < _EXIT_CACHE_SECONDS:
+            return interrupted_at
         self._interrupted_at_by_endpoint[endpoint] = now
         while len(self._interrupted_at_by_endpoint) > _MAX_CACHED_EXITS:
             del self._interrupted_at_by_endpoint[next(iter(self._interrupted_at_by_endpoint))]
         return now
 
     def _probe_done(self, entry: EndpointEntry, refused: bool) -> None:
-        witnesses = self._requests_by_endpoint.pop(entry.id)
+        affected_requests = self._requests_by_endpoint.pop(entry.id)
         if not refused:
             return
         self._exited_at_by_endpoint[entry.id] = self._loop.now()
         while len(self._exited_at_by_endpoint) > _MAX_CACHED_EXITS:
             del self._exited_at_by_endpoint[next(iter(self._exited_at_by_endpoint))]
-        self._on_ended(entry, witnesses)
+        self._on_exited(entry, affected_requests)
 
 
 class _ConnectProbe:
-    """Open a connection, say whether it was refused, and close it."""
+    """Open a connection, report whether it was refused, and close it."""
 
     def __init__(self, loop: EventLoop, address: str, done: Callable[[bool], None]) -> None:
         self._done: Callable[[bool], None] | None = done
@@ -126,15 +126,15 @@
         self._transport = Transport(loop, sock, self, connecting=True)
 
     def connected(self) -> None:
-        """Learn that the endpoint takes connections."""
+        """Report that the endpoint is alive: it accepted the connection."""
         self._finish(False)
 
     def received(self, data: bytes) -> None:
-        """Take bytes that nobody asked for: the endpoint lives."""
+        """Report that the endpoint is alive: it sent unsolicited data."""
         self._finish(False)
 
     def lost(self, error: OSError) -> None:
-        """Learn that there is no connection, and why."""
+        """Report whether the failed connection was refused."""
         self._finish(error.errno == errno.ECONNREFUSED)
 
     def _finish(self, refused: bool) -> None:
