--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from brassdrum.gateway.following.failure_detector import FailureDetector, FailureNotice
+from brassdrum.gateway.following.suspicion import FailureDetector, FailureNotice
 from brassdrum.gateway.model import (
     DaemonAddress,
     DeclaredRequest,
--- a/features/steps/guard_steps.py
+++ b/features/steps/guard_steps.py
@@ -11,7 +11,7 @@
 from brassdrum.daemon.content_guard import ContentGuard
 from brassdrum.errors import ContentQuarantinedError
 from brassdrum.gateway.guards.crash_guard import CrashGuard
-from brassdrum.gateway.guards.exit_detector import AffectedRequest
+from brassdrum.gateway.guards.endings import AffectedRequest
 from brassdrum.gateway.model import SharedRecord
 from brassdrum.gateway.placing.load import LoadTable, Share, endpoint_key
 from brassdrum.outcomes.quarantine import EndingWord, SeenEnd, Standing
--- a/features/steps/peer_group_steps.py
+++ b/features/steps/peer_group_steps.py
@@ -11,7 +11,7 @@
 
 from brassdrum.bench.load.loop import SimulatedLoop
 from brassdrum.bench.load.network import SimulatedNetwork
-from brassdrum.gateway.following.failure_detector import FailureDetector
+from brassdrum.gateway.following.suspicion import FailureDetector
 from brassdrum.gateway.model import DaemonAddress
 from brassdrum.gateway.peering.peer_messages import PeerBelief
 from brassdrum.gateway.peering.peers import Peers
--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -19,7 +19,7 @@
 from brassdrum.gateway.following.follower import Follower, Snapshot
 from brassdrum.gateway.following.routing_state import RoutingState
 from brassdrum.gateway.guards.crash_guard import CrashGuard
-from brassdrum.gateway.guards.exit_detector import AffectedRequest
+from brassdrum.gateway.guards.endings import AffectedRequest
 from brassdrum.gateway.model import Bounds, DaemonAddress, EndpointEntry, FleetConfiguration
 from brassdrum.gateway.net.upstream import EndpointPool
 from brassdrum.gateway.placing.load import LoadTable
--- a/features/steps/turning_away_steps.py
+++ b/features/steps/turning_away_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from brassdrum.bench.load.loop import SimulatedLoop
-from brassdrum.gateway.following.failure_detector import FailureDetector
+from brassdrum.gateway.following.suspicion import FailureDetector
 from brassdrum.gateway.placing.load import EndpointLoad, LoadRow, endpoint_key
 from features.steps.exchange_steps import begin
 
--- a/src/brassdrum/bench/load/daemon.py
+++ b/src/brassdrum/bench/load/daemon.py
@@ -11,7 +11,7 @@
 from brassdrum.bench.load.loop import SimulatedLoop
 from brassdrum.bench.load.network import SimulatedNetwork
 from brassdrum.gateway.guards.crash_guard import CrashGuard
-from brassdrum.gateway.guards.exit_detector import LostRequest
+from brassdrum.gateway.guards.endings import LostRequest
 from brassdrum.gateway.model import (
     DaemonAddress,
     DeclaredRequest,
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -18,7 +18,7 @@
 from brassdrum.gateway.following.follower import KNOWLEDGE_PATH, Follower
 from brassdrum.gateway.following.routing_state import RoutingState
 from brassdrum.gateway.guards.crash_guard import CrashGuard
-from brassdrum.gateway.guards.exit_detector import AffectedRequest, ExitDetector, LostRequest
+from brassdrum.gateway.guards.endings import AffectedRequest, ExitDetector, LostRequest
 from brassdrum.gateway.measures import GatewayMetrics, MetricsSources
 from brassdrum.gateway.model import (
     CallerLimits,
--- a/src/brassdrum/gateway/following/endpoint_monitor.py
+++ b/src/brassdrum/gateway/following/endpoint_monitor.py
@@ -5,9 +5,9 @@
 import logging
 from collections.abc import Callable
 
-from brassdrum.gateway.following.failure_detector import FailureDetector
 from brassdrum.gateway.following.follower import Follower
 from brassdrum.gateway.following.routing_state import EndpointChange, RoutingState
+from brassdrum.gateway.following.suspicion import FailureDetector
 from brassdrum.gateway.guards.crash_guard import CrashGuard
 from brassdrum.gateway.net.loop import EventLoop
 from brassdrum.gateway.net.upstream import EndpointPool
--- a/src/brassdrum/gateway/guards/crash_guard.py
+++ b/src/brassdrum/gateway/guards/crash_guard.py
@@ -10,7 +10,7 @@
 from datetime import timedelta
 
 from brassdrum.errors import BrassdrumError
-from brassdrum.gateway.guards.exit_detector import AffectedRequest
+from brassdrum.gateway.guards.endings import AffectedRequest
 from brassdrum.gateway.model import ControlStore, EndpointEntry, SharedRecord
 from brassdrum.gateway.net.loop import EventLoop
 from brassdrum.gateway.placing.load import LoadTable, endpoint_key
--- a/src/brassdrum/gateway/peering/group.py
+++ b/src/brassdrum/gateway/peering/group.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from brassdrum.gateway.following.failure_detector import (
+from brassdrum.gateway.following.suspicion import (
     CORROBORATION_SECONDS,
     FailureNotice,
     unexpired_notices,
--- a/src/brassdrum/gateway/peering/peer_messages.py
+++ b/src/brassdrum/gateway/peering/peer_messages.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from brassdrum.gateway.following.failure_detector import FailureNotice
+from brassdrum.gateway.following.suspicion import FailureNotice
 from brassdrum.gateway.model import DaemonAddress
 from brassdrum.gateway.peering.wire import FieldReader, FieldWriter
 from brassdrum.gateway.placing.load import LoadRow
--- a/src/brassdrum/gateway/peering/peers.py
+++ b/src/brassdrum/gateway/peering/peers.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from brassdrum.gateway.following.failure_detector import longest_notices
+from brassdrum.gateway.following.suspicion import longest_notices
 from brassdrum.gateway.model import DaemonAddress
 from brassdrum.gateway.net.datagrams import Datagrams
 from brassdrum.gateway.net.loop import Timer, Timers
--- a/src/brassdrum/gateway/peering/publishers.py
+++ b/src/brassdrum/gateway/peering/publishers.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from brassdrum.gateway.following.failure_detector import FailureNotice, unexpired_notices
+from brassdrum.gateway.following.suspicion import FailureNotice, unexpired_notices
 from brassdrum.gateway.peering.peer_messages import Digest, Sender
 
 __all__ = ["Publishers", "Taken"]
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -4,7 +4,7 @@
 
 import math
 
-from brassdrum.gateway.guards.exit_detector import LostRequest
+from brassdrum.gateway.guards.endings import LostRequest
 from brassdrum.gateway.model import (
     DeclaredRequest,
     Headers,
--- a/src/brassdrum/gateway/request/exchange_host.py
+++ b/src/brassdrum/gateway/request/exchange_host.py
@@ -7,7 +7,7 @@
 from brassdrum.gateway.following.endpoint_monitor import EndpointMonitor
 from brassdrum.gateway.following.routing_state import RoutingState
 from brassdrum.gateway.guards.crash_guard import CrashGuard
-from brassdrum.gateway.guards.exit_detector import LostRequest
+from brassdrum.gateway.guards.endings import LostRequest
 from brassdrum.gateway.placing.placement import Need, Placement
 from brassdrum.gateway.request.attempt import Attempt, AttemptHost
 from brassdrum.gateway.request.outcome import Outcome
