--- a/src/brassdrum/gateway/following/endpoint_monitor.py
+++ b/src/brassdrum/gateway/following/endpoint_monitor.py
@@ -25,13 +25,13 @@
     def __init__(
         self,
         loop: EventLoop,
-        knowledge: RoutingState,
+        routing_state: RoutingState,
         pool: EndpointPool,
         on_changed: Callable[[], None],
         guard: CrashGuard,
     ) -> None:
         self._loop = loop
-        self._knowledge = knowledge
+        self._routing_state = routing_state
         self._pool = pool
         self._on_changed = on_changed
         self._guard = guard
@@ -66,8 +66,8 @@
 
     def address_reused(self, endpoint: str) -> None:
         """Remove an endpoint whose address now belongs to another one."""
-        entry = self._knowledge.endpoints_by_id.get(endpoint)
-        self._knowledge.address_reused(endpoint)
+        entry = self._routing_state.endpoints_by_id.get(endpoint)
+        self._routing_state.address_reused(endpoint)
         if entry is not None:
             self._pool.forget(entry.address)
             self._log_endpoint_change(
@@ -78,34 +78,34 @@
         """Return the state that is sent to peers."""
         now = self._loop.now()
         return PeerBelief(
-            self._knowledge.version,
-            self._knowledge.digest,
+            self._routing_state.version,
+            self._routing_state.digest,
             self.list_age(),
-            self._knowledge.reads,
+            self._routing_state.reads,
             failing=tuple(self._failure_detector.notices(now)),
             leaving=tuple(
                 LeavingWord(endpoint, age)
-                for endpoint, age in self._knowledge.recently_left(now).items()
+                for endpoint, age in self._routing_state.recently_left(now).items()
             ),
             doubts=tuple(self._failure_detector.uncertain_failures(now)),
             endings=self._guard.peer_updates(),
-            era=self._knowledge.era,
+            era=self._routing_state.era,
         )
 
     def apply_peer_update(self, host: str, belief: PeerBelief) -> None:
         """Apply a peer's reports on failing and draining endpoints and on quarantined contents."""
         now = self._loop.now()
         self._guard.apply_peer_updates(belief.endings)
-        for failing in belief.failing:
-            self._failure_detector.apply_notice(failing, now)
+        for notice in belief.failing:
+            self._failure_detector.apply_notice(notice, now)
         for endpoint in belief.doubts:
             if self._failure_detector.record_uncertain_failure(endpoint, host, now):
                 self._log_suspect(
                     endpoint, f"failures seen by this or another daemon and by {host}", False
                 )
-        for word in belief.leaving:
-            if self._knowledge.mark_draining(word.endpoint, now - word.age):
-                entry = self._knowledge.endpoints_by_id[word.endpoint]
+        for leaving in belief.leaving:
+            if self._routing_state.mark_draining(leaving.endpoint, now - leaving.age):
+                entry = self._routing_state.endpoints_by_id[leaving.endpoint]
                 self._log_endpoint_change(EndpointChange(entry.id, entry.service, "draining"), host)
 
     def compare_with_peer(self, host: str, belief: PeerBelief) -> None:
@@ -115,7 +115,7 @@
 
     def on_configuration_changed(self, earlier: int, source: str) -> None:
         """Log the new configuration and notify the daemon."""
-        configuration = self._knowledge.configuration
+        configuration = self._routing_state.configuration
         assert configuration is not None
         log_events.CONFIGURED.write(
             _logger,
@@ -133,7 +133,7 @@
             self._log_endpoint_change(change, source)
             if change.change == "restarted" and change.address is not None:
                 self._pool.forget(change.address)
-        self._failure_detector.retain(set(self._knowledge.endpoints_by_id))
+        self._failure_detector.retain(set(self._routing_state.endpoints_by_id))
         self._on_changed()
 
     def _log_suspect(self, endpoint: str, detail: str, certain: bool) -> None:
--- a/src/brassdrum/gateway/following/follower.py
+++ b/src/brassdrum/gateway/following/follower.py
@@ -106,7 +106,7 @@
         self,
         loop: EventLoop,
         store: ControlStore,
-        knowledge: RoutingState,
+        routing_state: RoutingState,
         bounds: Bounds,
         peer_port: int,
         on_changes: Callable[[list[EndpointChange], str], None],
@@ -115,7 +115,7 @@
     ) -> None:
         self._loop = loop
         self._store = store
-        self._knowledge = knowledge
+        self._routing_state = routing_state
         self._peer_port = peer_port
         self._bound = 0.0
         self.set_bounds(bounds)
@@ -155,7 +155,7 @@
 
     def snapshot(self) -> bytes:
         """Return the encoded state for peers, cached until the state changes."""
-        known = self._knowledge
+        known = self._routing_state
         mark = (known.version, known.digest, known.era)
         if self._encoded_snapshot is None or self._encoded_version != mark:
             named = self._records_by_id
@@ -169,16 +169,16 @@
 
     def age(self) -> float | None:
         """Return the seconds since the current state was read from the store."""
-        if self._knowledge.read_at is None:
+        if self._routing_state.read_at is None:
             return None
-        return max(0.0, self._loop.now() - self._knowledge.read_at)
+        return max(0.0, self._loop.now() - self._routing_state.read_at)
 
     def compare_with_peer(self, host: str, belief: PeerBelief) -> None:
         """Fetch the state of a peer if it is newer than the local one."""
         if belief.age is None:
             return
         read_at = self._loop.now() - belief.age
-        known = self._knowledge
+        known = self._routing_state
         self._update_era(belief.era, host)
         # Lists are comparable only within an era: one from before a restore is older, whenever it
         # was read. Configurations are ordered by their version alone.
@@ -208,7 +208,7 @@
 
     def _check_read_due(self) -> None:
         now = self._loop.now()
-        read_at = self._knowledge.read_at
+        read_at = self._routing_state.read_at
         due_at = now if read_at is None else read_at + self._read_interval()
         if now >= max(due_at, self._read_not_before) and not self._reading:
             self._reading = True
@@ -244,7 +244,7 @@
             assert self._peers is not None
             pause = _READ_RETRY_SECONDS * max(1.0, self._peers.group_size / _UNSCALED_GROUP_SIZE)
             self._read_not_before = self._loop.now() + pause
-            self._knowledge.store_failed(self._loop.now())
+            self._routing_state.store_failed(self._loop.now())
             self._log_store_availability(False, error.message)
             return
         self._log_store_availability(True, "")
@@ -252,7 +252,7 @@
         self._apply(
             snapshot,
             "store",
-            lambda entries: self._knowledge.apply_store_list(entries, sent, snapshot.era),
+            lambda entries: self._routing_state.apply_store_list(entries, sent, snapshot.era),
         )
         assert self._peers is not None
         self._peers.announce()
@@ -278,7 +278,9 @@
         self._apply(
             snapshot,
             host,
-            lambda entries: self._knowledge.apply_peer_list(entries, read_at, reads, snapshot.era),
+            lambda entries: self._routing_state.apply_peer_list(
+                entries, read_at, reads, snapshot.era
+            ),
         )
 
     def _apply(
@@ -302,7 +304,7 @@
         changes = take(entries)
         if changes:
             self._on_changes(changes, source)
-        known = self._knowledge.endpoints_by_id
+        known = self._routing_state.endpoints_by_id
         for name in [name for name in self._records_by_id if name not in known]:
             del self._records_by_id[name]
 
@@ -326,15 +328,15 @@
             self._configuration = record
             log_events.CONFIGURATION_REFUSED.write(_logger, error=error.message)
             return
-        earlier = self._knowledge.version
-        if self._knowledge.apply_configuration(configuration):
+        earlier = self._routing_state.version
+        if self._routing_state.apply_configuration(configuration):
             self._configuration = record
             self._on_configured(earlier, source)
 
     def _update_era(self, era: int | None, source: str) -> None:
         """Rewrite records that may be missing after the store was restored from a backup."""
-        earlier = self._knowledge.era
-        if self._knowledge.update_era(era, self._loop.now()):
+        earlier = self._routing_state.era
+        if self._routing_state.update_era(era, self._loop.now()):
             log_events.STORE_RESTORED.write(_logger, era=era, earlier=earlier, source=source)
             self._on_restored()
 
--- a/src/brassdrum/gateway/guards/crash_guard.py
+++ b/src/brassdrum/gateway/guards/crash_guard.py
@@ -189,9 +189,9 @@
         """Return the observations to send to peers."""
         return self._quarantine.words(self._loop.now())
 
-    def apply_peer_updates(self, words: Iterable[EndingWord]) -> None:
+    def apply_peer_updates(self, updates: Iterable[EndingWord]) -> None:
         """Apply the observations of a peer."""
-        if self._quarantine.hear(words, self._loop.now()):
+        if self._quarantine.hear(updates, self._loop.now()):
             self._loop.call_later(_REVIEW_DELAY_SECONDS, self._review)
 
     def rewrite_records(self) -> None:
@@ -234,22 +234,22 @@
         return content in self._observed_contents or self._is_primary()
 
     def _log_content(self, event: log_events.LogEvent, content: str) -> None:
-        word = self._quarantine.word(content, self._loop.now())
+        update = self._quarantine.word(content, self._loop.now())
         event.write(
             _logger,
             content=content,
-            ends=len(word.ends),
-            first_age=round(max((end.age for end in word.ends), default=0.0), 2),
-            last_age=round(min((end.age for end in word.ends), default=0.0), 2),
+            ends=len(update.ends),
+            first_age=round(max((end.age for end in update.ends), default=0.0), 2),
+            last_age=round(min((end.age for end in update.ends), default=0.0), 2),
             seconds_left=round(self.seconds_left(content), 1),
         )
 
     def _build_record(self, content: str) -> SharedRecord:
         wall = self._loop.clock.now()
-        word = self._quarantine.word(content, self._loop.now())
+        update = self._quarantine.word(content, self._loop.now())
         ends = tuple(
             StoredEnd(end.endpoint, (wall - timedelta(seconds=end.age)).timestamp(), end.soon)
-            for end in word.ends
+            for end in update.ends
         )
         return QuarantineRecord(content, ends).encode()
 
