--- a/features/steps/turning_away_steps.py
+++ b/features/steps/turning_away_steps.py
@@ -1,4 +1,4 @@
-"""Steps on endpoints that turn requests away though they have room."""
+"""Steps for endpoints that reject requests although they have capacity."""
 
 import random
 
@@ -12,78 +12,81 @@
 DAEMONS = 58
 ENDPOINTS = 78
 REQUESTS_PER_SECOND = 125
-PLAY_SECONDS = 8.0
-WORD_SECONDS = 0.06
+RUN_SECONDS = 8.0
+NETWORK_DELAY_SECONDS = 0.06
 HEARTBEAT_SECONDS = 0.8
-SENDS = 2
-SEND_SECONDS = 0.08
+MAX_ATTEMPTS = 2
+RETRY_DELAY_SECONDS = 0.08
 
 
-class Play:
-    """Play daemons that learn which endpoints turn requests away."""
+class RejectionSimulation:
+    """Simulate daemons that detect endpoints which reject all requests."""
 
-    def __init__(self, seed, turning_away):
-        self.met = 0
-        self.refused = 0
+    def __init__(self, seed, rejecting):
+        self.rejections = 0
+        self.rejected_requests = 0
         self._random = random.Random(seed)
-        self._turning_away = {str(number) for number in range(turning_away)}
+        self._rejecting = {str(number) for number in range(rejecting)}
         self._loop = SimulatedLoop()
         self._daemons = [FailureDetector() for _ in range(DAEMONS)]
         for number in range(DAEMONS):
             start = self._random.uniform(0.0, HEARTBEAT_SECONDS)
-            self._loop.call_later(start, lambda n=number: self._beat(n))
-        self._loop.call_later(0.0, self._come)
-        self._loop.advance(PLAY_SECONDS)
+            self._loop.call_later(start, lambda n=number: self._heartbeat(n))
+        self._loop.call_later(0.0, self._arrive)
+        self._loop.advance(RUN_SECONDS)
 
-    def _come(self):
+    def _arrive(self):
         self._send(self._random.randrange(DAEMONS), set())
-        self._loop.call_later(self._random.expovariate(REQUESTS_PER_SECOND), self._come)
+        self._loop.call_later(self._random.expovariate(REQUESTS_PER_SECOND), self._arrive)
 
     def _send(self, number, tried):
         now = self._loop.now()
         daemon = self._daemons[number]
         left = [str(n) for n in range(ENDPOINTS) if str(n) not in tried]
-        sound = [each for each in left if not daemon.is_suspect(each, now)] or left
-        endpoint = self._random.choice(sound)
+        healthy = [each for each in left if not daemon.is_suspect(each, now)] or left
+        endpoint = self._random.choice(healthy)
         tried.add(endpoint)
-        if endpoint not in self._turning_away:
+        if endpoint not in self._rejecting:
             daemon.record_success(endpoint)
             return
-        self.met += 1
+        self.rejections += 1
         if daemon.record_failure(endpoint, now, certain=True):
-            self._tell(number)
-        if len(tried) == SENDS:
-            self.refused += 1
+            self._send_notices(number)
+        if len(tried) == MAX_ATTEMPTS:
+            self.rejected_requests += 1
             return
-        self._loop.call_later(SEND_SECONDS, lambda: self._send(number, tried))
+        self._loop.call_later(RETRY_DELAY_SECONDS, lambda: self._send(number, tried))
 
-    def _beat(self, number):
-        self._tell(number)
-        self._loop.call_later(HEARTBEAT_SECONDS, lambda: self._beat(number))
+    def _heartbeat(self, number):
+        self._send_notices(number)
+        self._loop.call_later(HEARTBEAT_SECONDS, lambda: self._heartbeat(number))
 
-    def _tell(self, number):
-        words = self._daemons[number].notices(self._loop.now())
-        if words:
-            self._loop.call_later(WORD_SECONDS, lambda: self._hear(number, words))
+    def _send_notices(self, number):
+        notices = self._daemons[number].notices(self._loop.now())
+        if notices:
+            self._loop.call_later(
+                NETWORK_DELAY_SECONDS, lambda: self._receive_notices(number, notices)
+            )
 
-    def _hear(self, teller, words):
+    def _receive_notices(self, sender, notices):
         for number, daemon in enumerate(self._daemons):
-            if number == teller:
+            if number == sender:
                 continue
-            for word in words:
-                daemon.apply_notice(word, self._loop.now())
+            for notice in notices:
+                daemon.apply_notice(notice, self._loop.now())
 
 
-@when("{count:d} of the endpoints turn away all requests, with seeds {first:d} to {last:d}")
-def step_play(context, count, first, last):
-    context.plays = [Play(seed, count) for seed in range(first, last + 1)]
+@when("{count:d} of the endpoints reject all requests, with seeds {first:d} to {last:d}")
+def step_rejecting_endpoints(context, count, first, last):
+    context.runs = [RejectionSimulation(seed, count) for seed in range(first, last + 1)]
 
 
 @then(
-    "at most {met:d} sends a play meet one, and at most {refused:d} requests a play meet two",
+    "at most {met:d} sends per run are rejected, "
+    "and at most {refused:d} requests per run are rejected twice",
 )
-def step_met(context, met, refused):
-    found = [(each.met, each.refused) for each in context.plays]
+def step_rejected_at_most(context, met, refused):
+    found = [(each.rejections, each.rejected_requests) for each in context.runs]
     assert all(0 < one <= met and two <= refused for one, two in found), found
 
 
@@ -94,96 +97,96 @@
     assert context.first.record_failure("a", 11.0, certain=True)
 
 
-@when("another daemon that heard of it meets a failure there")
-def step_other_meets(context):
+@when("another daemon that received its notice sees a failure there")
+def step_other_daemon_fails(context):
     context.second = FailureDetector()
-    (word,) = context.first.notices(11.5)
-    context.second.apply_notice(word, 11.5)
+    (notice,) = context.first.notices(11.5)
+    context.second.apply_notice(notice, 11.5)
     assert context.second.is_suspect("a", 12.5) and not context.second.is_suspect("a", 12.7)
     assert context.second.record_failure("a", 13.0, certain=True)
 
 
-@then("it avoids the endpoint for twice as long again")
+@then("it avoids the endpoint for twice as long")
 def step_twice_as_long(context):
     (before,), (after,) = context.first.notices(11.0), context.second.notices(13.0)
     assert after.span == 2 * before.span, (before, after)
 
 
-@given("a stream at an endpoint of 8 places of which others have {taken:d}")
-def step_taken(context, taken):
+@given("a stream at an endpoint with 8 slots of which other requests use {used:d}")
+def step_used_slots(context, used):
     begin(context)
-    rows = [LoadRow(endpoint_key("engine-1"), EndpointLoad(calls=taken))]
+    rows = [LoadRow(endpoint_key("engine-1"), EndpointLoad(calls=used))]
     context.host.table.merge("peer", rows, context.host.loop.now(), 1)
 
 
-@when("the endpoint says that it did not run it")
-def step_turned_away(context):
+@when("the endpoint reports that it did not run the request")
+def step_not_run(context):
     headers = [(b"X-Attempt-Id", b"a"), (b"X-Not-Executed", b"1")]
     context.host.pool.calls[0].owner.began(503, headers)
 
 
-@then("the endpoint is {believed}")
-def step_believed(context, believed):
-    assert ("engine-1" in context.host.beliefs.avoided) is (believed == "avoided")
+@then("the endpoint is {state}")
+def step_avoidance(context, state):
+    assert ("engine-1" in context.host.beliefs.avoided) is (state == "avoided")
 
 
-@given("a daemon that has just met a failure at an endpoint")
-def step_met_failure(context):
-    context.daemon_now = 10.0
-    context.daemon_alone = FailureDetector()
-    assert not context.daemon_alone.record_failure("a", 10.0, certain=False)
+@given("a daemon that has just seen an uncertain failure of an endpoint")
+def step_seen_failure(context):
+    context.now = 10.0
+    context.detector = FailureDetector()
+    assert not context.detector.record_failure("a", 10.0, certain=False)
 
 
-@given("a daemon to which an endpoint has just answered with a failure")
-def step_answered_failure(context):
-    context.daemon_now = 10.0
-    context.daemon_alone = FailureDetector()
-    assert not context.daemon_alone.record_error_response("a", 10.0)
+@given("a daemon that has just received an error response from an endpoint")
+def step_error_response(context):
+    context.now = 10.0
+    context.detector = FailureDetector()
+    assert not context.detector.record_error_response("a", 10.0)
 
 
-@then("it tells nobody of it")
-def step_tells_nobody(context):
-    assert context.daemon_alone.uncertain_failures(context.daemon_now) == []
+@then("the daemon reports no failure to its peers")
+def step_no_report(context):
+    assert context.detector.uncertain_failures(context.now) == []
 
 
-@when("it meets a failure there {seconds:g} s later")
-def step_meets_later(context, seconds):
-    context.met_at = 11.0 + seconds
-    assert context.first.record_failure("a", context.met_at, certain=True)
+@when("the daemon sees a failure there {seconds:g} s later")
+def step_fails_later(context, seconds):
+    context.failed_at = 11.0 + seconds
+    assert context.first.record_failure("a", context.failed_at, certain=True)
 
 
 @then("it avoids the endpoint for {seconds:g} s")
 def step_avoids_for(context, seconds):
-    (word,) = context.first.notices(context.met_at)
-    assert word.span == seconds, word
+    (notice,) = context.first.notices(context.failed_at)
+    assert notice.span == seconds, notice
 
 
-@given("a daemon that has met no failure")
-def step_met_none(context):
-    context.daemon_now = 10.0
-    context.daemon_alone = FailureDetector()
+@given("a daemon that has seen no failure")
+def step_seen_none(context):
+    context.now = 10.0
+    context.detector = FailureDetector()
 
 
-@when("a peer tells of a failure there {seconds:g} s later")
-def step_peer_tells(context, seconds):
-    context.daemon_now += seconds
-    context.daemon_alone.record_uncertain_failure("a", "10.0.0.2", context.daemon_now)
+@when("a peer reports a failure of the endpoint {seconds:g} s later")
+def step_peer_reports(context, seconds):
+    context.now += seconds
+    context.detector.record_uncertain_failure("a", "10.0.0.2", context.now)
 
 
-@then("no endpoint is suspect there")
-def step_not_suspect_there(context):
-    assert not context.daemon_alone.is_suspect("a", context.daemon_now)
+@then("the daemon does not suspect the endpoint")
+def step_not_suspect(context):
+    assert not context.detector.is_suspect("a", context.now)
 
 
-@then("it is suspect there, and its word says so")
-def step_suspect_there(context):
-    assert context.daemon_alone.is_suspect("a", context.daemon_now)
-    (word,) = context.daemon_alone.notices(context.daemon_now)
-    assert word.endpoint == "a"
+@then("the daemon suspects the endpoint and notifies its peers")
+def step_suspect(context):
+    assert context.detector.is_suspect("a", context.now)
+    (notice,) = context.detector.notices(context.now)
+    assert notice.endpoint == "a"
 
 
-class FailingPlay(Play):
-    """Play endpoints that fail requests without saying so."""
+class FailureSimulation(RejectionSimulation):
+    """Simulate endpoints that fail requests with the given probability."""
 
     def __init__(self, seed, failing, share):
         self.failed = 0
@@ -198,48 +201,50 @@
         left = [str(n) for n in range(ENDPOINTS) if str(n) not in tried]
         endpoint = self._random.choice([e for e in left if not daemon.is_suspect(e, now)] or left)
         tried.add(endpoint)
-        if endpoint not in self._turning_away or self._random.random() >= self._share:
+        if endpoint not in self._rejecting or self._random.random() >= self._share:
             daemon.record_success(endpoint)
             return
         daemon.record_failure(endpoint, now, certain=False)
-        self._tell(number)
-        if len(tried) == SENDS:
+        self._send_notices(number)
+        if len(tried) == MAX_ATTEMPTS:
             self.failed += 1
             return
-        self._loop.call_later(SEND_SECONDS, lambda: self._send(number, tried))
+        self._loop.call_later(RETRY_DELAY_SECONDS, lambda: self._send(number, tried))
 
-    def _tell(self, number):
-        super()._tell(number)
-        doubts = self._daemons[number].uncertain_failures(self._loop.now())
-        if doubts:
-            self._loop.call_later(WORD_SECONDS, lambda: self._hear_doubts(number, doubts))
+    def _send_notices(self, number):
+        super()._send_notices(number)
+        failures = self._daemons[number].uncertain_failures(self._loop.now())
+        if failures:
+            self._loop.call_later(
+                NETWORK_DELAY_SECONDS, lambda: self._receive_failures(number, failures)
+            )
 
-    def _hear_doubts(self, teller, doubts):
+    def _receive_failures(self, sender, failures):
         for number, daemon in enumerate(self._daemons):
-            if number == teller:
+            if number == sender:
                 continue
-            for endpoint in doubts:
-                daemon.record_uncertain_failure(endpoint, str(teller), self._loop.now())
+            for endpoint in failures:
+                daemon.record_uncertain_failure(endpoint, str(sender), self._loop.now())
 
 
 @when("{count:d} of the endpoints reset all connections, with seeds {first:d} to {last:d}")
-def step_reset_play(context, count, first, last):
-    context.plays = [FailingPlay(seed, count, 1.0) for seed in range(first, last + 1)]
+def step_resetting_endpoints(context, count, first, last):
+    context.runs = [FailureSimulation(seed, count, 1.0) for seed in range(first, last + 1)]
 
 
-@when("all endpoints lose 1 answer in {count:d}, with seeds {first:d} to {last:d}")
-def step_lost_play(context, count, first, last):
+@when("all endpoints lose 1 response in {count:d}, with seeds {first:d} to {last:d}")
+def step_lost_responses(context, count, first, last):
     seeds = range(first, last + 1)
-    context.plays = [FailingPlay(seed, ENDPOINTS, 1 / count) for seed in seeds]
+    context.runs = [FailureSimulation(seed, ENDPOINTS, 1 / count) for seed in seeds]
 
 
-@then("at most {most:d} requests a play fail")
-def step_fail_most(context, most):
-    found = [each.failed for each in context.plays]
+@then("at most {most:d} requests per run fail")
+def step_failed_at_most(context, most):
+    found = [each.failed for each in context.runs]
     assert all(0 < count <= most for count in found), found
 
 
 @then("on average at most {most:g} endpoints are avoided")
-def step_avoided_most(context, most):
-    found = [sum(each.avoided) / len(each.avoided) for each in context.plays]
+def step_avoided_at_most(context, most):
+    found = [sum(each.avoided) / len(each.avoided) for each in context.runs]
     assert max(found) <= most, found
