--- a/features/endpoint_list.feature
+++ b/features/endpoint_list.feature
@@ -1,38 +1,38 @@
-Feature: The list of endpoints, with entries of other writers and endpoints that start again
+Feature: Endpoint list with invalid entries and restarting endpoints
 
-  Scenario Outline: An entry with <fault> names no endpoint, and the others hold
+  Scenario Outline: An entry with <fault> is rejected, and the other entries are used
     Given a list of three entries, one of them with <fault>
     When the list is read twice
     Then the two other endpoints are used
-    And the log names the entry once
+    And the entry is logged once
 
     Examples:
-      | fault                    |
-      | a state that is unknown  |
-      | a number written as text |
-      | a start that is no whole number |
-      | a field that is missing  |
-      | an address without port  |
-      | bytes that are no JSON   |
+      | fault                           |
+      | an unknown state                |
+      | a number encoded as a string    |
+      | a start time that is no integer |
+      | a missing field                 |
+      | an address without a port       |
+      | a body that is not JSON         |
 
-  Scenario: A record whose bytes cannot be read does not hide the others
+  Scenario: An unreadable record does not hide the others
     Given a store with 3 pages of endpoints
-    And the record "5" holds bytes that cannot be read
+    And the record "5" has an unreadable body
     Then the records "1 2 3 4 6 7 8 9" are read
 
-  Scenario: An endpoint that starts again under its name starts from nothing
-    Given an endpoint that is suspected, called leaving and has work in flight
-    When the list shows that it started again
-    Then it is used, free of suspicion and without work
+  Scenario: A restarted endpoint starts with a clean state
+    Given an endpoint that is suspect, reported as draining and has requests in flight
+    When the list shows that it restarted
+    Then it is used, not suspect and without load
     And its earlier connections are closed
 
-  Scenario: An endpoint that starts again while the store settles replaces its predecessor at once
-    Given a store that was away for 10 seconds
-    When the first list after it shows that an endpoint started again
+  Scenario: An endpoint that restarts during a store outage replaces its predecessor at once
+    Given a store that was unavailable for 10 seconds
+    When the first list after the outage shows a restarted endpoint
     Then only its new incarnation is used
 
-  Scenario: Words and lists about incarnations in any order leave the newest list in force
-    Then whatever order words, lists and restarts come in, only later words about the same start count
+  Scenario: Reports and lists about several incarnations leave the newest list in force
+    Then in any order of reports, lists and restarts only later reports on the same incarnation count
 
-  Scenario: The name of an endpoint goes on the wire, not its incarnation
-    Then a request to an endpoint that started again expects it by its name
+  Scenario: Requests name the endpoint, not its incarnation
+    Then a request to a restarted endpoint carries the endpoint's name
--- a/features/steps/endpoint_list_steps.py
+++ b/features/steps/endpoint_list_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the list of endpoints: entries of other writers, endpoints that start again."""
+"""Steps for the endpoint list: invalid entries and restarting endpoints."""
 
 import json
 import logging
@@ -35,12 +35,12 @@
 }
 faults = Registry("fault of an entry")
 for name, text in {
-    "a state that is unknown": json.dumps({**ENTRY, "state": "warming"}),
-    "a number written as text": json.dumps({**ENTRY, "slots": "8"}),
-    "a start that is no whole number": json.dumps({**ENTRY, "born": 1764630000000.5}),
-    "a field that is missing": json.dumps({k: v for k, v in ENTRY.items() if k != "zone"}),
-    "an address without port": json.dumps({**ENTRY, "address": "10.0.0.1"}),
-    "bytes that are no JSON": "\x00\x01",
+    "an unknown state": json.dumps({**ENTRY, "state": "warming"}),
+    "a number encoded as a string": json.dumps({**ENTRY, "slots": "8"}),
+    "a start time that is no integer": json.dumps({**ENTRY, "born": 1764630000000.5}),
+    "a missing field": json.dumps({k: v for k, v in ENTRY.items() if k != "zone"}),
+    "an address without a port": json.dumps({**ENTRY, "address": "10.0.0.1"}),
+    "a body that is not JSON": "\x00\x01",
 }.items():
     faults.register(name)(text)
 
@@ -50,28 +50,28 @@
     return EndpointEntry(name, SERVICE, "10.0.0.1:80", "zone-a", 8, draining, born)
 
 
-class PlatformEntries:
-    """Decode entries as the adapter does."""
+class PlatformDecoder:
+    """Decode entries like the platform's adapter."""
 
     def decode_endpoint(self, record):
-        """Return an entry of the platform."""
+        """Return the decoded entry."""
         return decode_endpoint(record.key, record.value)
 
 
-class KeptLines(logging.Handler):
-    """Keep the names of log lines."""
+class LogMessages(logging.Handler):
+    """Collect the messages of log records."""
 
     def __init__(self):
         super().__init__()
-        self.lines = []
+        self.messages = []
 
     def emit(self, record):
-        """Keep one line."""
-        self.lines.append(record.getMessage())
+        """Append the message of one record."""
+        self.messages.append(record.getMessage())
 
 
 @given("a list of three entries, one of them with {fault}")
-def step_faulty(context, fault):
+def step_invalid_entry(context, fault):
     good = json.dumps(ENTRY).encode()
     context.records = (
         SharedRecord("engine-1", good),
@@ -82,18 +82,18 @@
 
 @when("the list is read twice")
 def step_read_twice(context):
-    context.knowledge = RoutingState()
-    context.kept = KeptLines()
+    context.routing_state = RoutingState()
+    context.log = LogMessages()
     logger = logging.getLogger("brassdrum.gateway.following.follower")
     level = logger.level
-    logger.addHandler(context.kept)
+    logger.addHandler(context.log)
     logger.setLevel(logging.INFO)
-    context.stack.push(lambda: logger.removeHandler(context.kept))
+    context.stack.push(lambda: logger.removeHandler(context.log))
     context.stack.push(lambda: logger.setLevel(level))
     follower = Follower(
         SimulatedLoop(),
-        PlatformEntries(),
-        context.knowledge,
+        PlatformDecoder(),
+        context.routing_state,
         Bounds(),
         1,
         *[lambda *_: None] * 3,
@@ -105,18 +105,18 @@
 
 
 @then("the two other endpoints are used")
-def step_others(context):
-    used = [each.name for each in context.knowledge.usable(SERVICE)]
+def step_others_used(context):
+    used = [each.name for each in context.routing_state.usable(SERVICE)]
     assert used == ["engine-1", "engine-3"], used
 
 
-@then("the log names the entry once")
+@then("the entry is logged once")
 def step_logged(context):
-    refused = [line for line in context.kept.lines if line == "endpoint entry refused"]
-    assert len(refused) == 1, context.kept.lines
+    refused = [message for message in context.log.messages if message == "endpoint entry refused"]
+    assert len(refused) == 1, context.log.messages
 
 
-@given('the record "{key}" holds bytes that cannot be read')
+@given('the record "{key}" has an unreadable body')
 def step_unreadable(context, key):
     context.server.RequestHandlerClass.unreadable = key
 
@@ -127,96 +127,98 @@
     assert read == keys.split(), read
 
 
-@given("an endpoint that is suspected, called leaving and has work in flight")
-def step_burdened(context):
+@given("an endpoint that is suspect, reported as draining and has requests in flight")
+def step_loaded_endpoint(context):
     loop = SimulatedLoop()
     context.loop = loop
-    context.knowledge = RoutingState()
+    context.routing_state = RoutingState()
     context.pool = EndpointPool(loop)
-    context.forgotten = []
-    context.pool.forget = context.forgotten.append
+    context.closed_addresses = []
+    context.pool.forget = context.closed_addresses.append
     guard = CrashGuard(loop, LoadTable())
-    context.beliefs = EndpointMonitor(loop, context.knowledge, context.pool, lambda: None, guard)
-    context.knowledge.apply_store_list([entry(1)], 90.0)
-    context.beliefs.endpoint_failed("engine-1@1", certain=True, detail="silent")
-    context.knowledge.mark_draining("engine-1@1", 95.0)
+    context.monitor = EndpointMonitor(
+        loop, context.routing_state, context.pool, lambda: None, guard
+    )
+    context.routing_state.apply_store_list([entry(1)], 90.0)
+    context.monitor.endpoint_failed("engine-1@1", certain=True, detail="silent")
+    context.routing_state.mark_draining("engine-1@1", 95.0)
     context.loads = LoadTable()
     load = EndpointLoad(500.0, 5_000, 5_000, 1, 0, {250: 1}, 0)
     context.loads.merge("peer", [LoadRow(endpoint_key("engine-1@1"), load)], 95.0, 1)
 
 
-@when("the list shows that it started again")
-def step_started_again(context):
-    changes = context.knowledge.apply_store_list([entry(2)], 96.0)
-    context.beliefs.on_endpoints_changed(changes, "store")
+@when("the list shows that it restarted")
+def step_restarted(context):
+    changes = context.routing_state.apply_store_list([entry(2)], 96.0)
+    context.monitor.on_endpoints_changed(changes, "store")
 
 
-@then("it is used, free of suspicion and without work")
-def step_fresh(context):
-    (used,) = context.knowledge.usable(SERVICE)
+@then("it is used, not suspect and without load")
+def step_clean_state(context):
+    (used,) = context.routing_state.usable(SERVICE)
     assert used.name == "engine-1"
-    assert not context.beliefs.is_suspect(used.id)
+    assert not context.monitor.is_suspect(used.id)
     assert context.loads.total(used.id).empty()
-    assert not context.knowledge.mark_draining("engine-1@1", 97.0)
-    assert context.knowledge.usable(SERVICE) == [used]
+    assert not context.routing_state.mark_draining("engine-1@1", 97.0)
+    assert context.routing_state.usable(SERVICE) == [used]
 
 
 @then("its earlier connections are closed")
-def step_forgotten(context):
-    assert context.forgotten == ["10.0.0.1:80"], context.forgotten
+def step_connections_closed(context):
+    assert context.closed_addresses == ["10.0.0.1:80"], context.closed_addresses
 
 
-@given("a store that was away for 10 seconds")
-def step_was_away(context):
-    context.knowledge = RoutingState()
-    context.knowledge.apply_store_list([entry(1)], 90.0)
-    context.knowledge.store_failed(99.0)
+@given("a store that was unavailable for 10 seconds")
+def step_outage(context):
+    context.routing_state = RoutingState()
+    context.routing_state.apply_store_list([entry(1)], 90.0)
+    context.routing_state.store_failed(99.0)
 
 
-@when("the first list after it shows that an endpoint started again")
-def step_again_after(context):
-    context.knowledge.apply_store_list([entry(2)], 100.0)
+@when("the first list after the outage shows a restarted endpoint")
+def step_restart_after_outage(context):
+    context.routing_state.apply_store_list([entry(2)], 100.0)
 
 
 @then("only its new incarnation is used")
 def step_only_new(context):
-    assert [each.id for each in context.knowledge.usable(SERVICE)] == ["engine-1@2"]
+    assert [each.id for each in context.routing_state.usable(SERVICE)] == ["engine-1@2"]
 
 
 @then(
-    "whatever order words, lists and restarts come in, only later words about the same start count"
+    "in any order of reports, lists and restarts only later reports on the same incarnation count"
 )
 def step_any_order(context):
-    steps = st.lists(st.tuples(st.sampled_from(["restart", "word", "read", "old read"])))
+    steps = st.lists(st.tuples(st.sampled_from(["restart", "report", "read", "old read"])))
 
     @settings(max_examples=200, deadline=None, database=None, derandomize=True)
     @for_all(steps)
     def holds(drawn):
-        knowledge, now, born, listed, left = RoutingState(), 10.0, 1, None, set()
+        state, now, born, listed, left = RoutingState(), 10.0, 1, None, set()
         for (step,) in drawn:
             now += 1.0
             if step == "restart":
                 born += 1
-            elif step == "word":
-                if knowledge.mark_draining(f"engine-1@{born}", now):
+            elif step == "report":
+                if state.mark_draining(f"engine-1@{born}", now):
                     left.add(born)
                 else:
                     assert listed != born or born in left
             elif step == "read":
-                knowledge.apply_store_list([entry(born)], now)
+                state.apply_store_list([entry(born)], now)
                 listed = born
                 left.discard(born)
             else:
-                if knowledge.read_at is not None:
-                    knowledge.apply_store_list([entry(max(1, born - 1))], knowledge.read_at - 0.5)
-        used = {each.born for each in knowledge.usable(SERVICE)}
+                if state.read_at is not None:
+                    state.apply_store_list([entry(max(1, born - 1))], state.read_at - 0.5)
+        used = {each.born for each in state.usable(SERVICE)}
         expected = set() if listed is None or listed in left else {listed}
         assert used == expected, (drawn, used, expected)
 
     holds()
 
 
-@then("a request to an endpoint that started again expects it by its name")
+@then("a request to a restarted endpoint carries the endpoint's name")
 def step_wire_name(context):
     request = DeclaredRequest("r", b"POST", b"/", "host", [], 1.0)
     headers = PlatformDialect().endpoint_headers(request, Sending(entry(7), (), None, 1, 1.0, None))
