--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a store that comes back from a copy some seconds old."""
+"""Steps for a store that is restored from a backup."""
 
 import copy
 import re
@@ -27,8 +27,8 @@
 from features.gateway_world import SERVICE, FakeStore
 
 CONTENT = f"{7:016x}"
-ENDS = 3
-TOLD_SECONDS = 0.1
+QUARANTINE_EXITS = 3
+UPDATE_INTERVAL_SECONDS = 0.1
 
 
 def endpoint(number, born=1, *, draining=False):
@@ -42,37 +42,37 @@
     return FleetConfiguration(version, (), {}, ())
 
 
-class CopyingStore(FakeStore):
-    """Come back from a copy on command."""
+class RestorableStore(FakeStore):
+    """A fake store that can be backed up and restored."""
 
     def __init__(self):
         super().__init__()
         self.era = 1
-        self._kept = None
+        self._backup = None
 
-    def keep_copy(self):
-        """Make a copy of all that lies here."""
+    def back_up(self):
+        """Back up all records."""
         parts = (self.current, self.entries, self.hosts, self.quarantine_by_content)
-        self._kept = copy.deepcopy(parts)
+        self._backup = copy.deepcopy(parts)
 
-    def come_back(self):
-        """Lose what was written since the copy was made."""
-        parts = copy.deepcopy(self._kept)
+    def restore(self):
+        """Restore the backup, which loses all later writes."""
+        parts = copy.deepcopy(self._backup)
         self.current, self.entries, self.hosts, self.quarantine_by_content = parts
         self.era += 1
 
     def put(self, entry):
-        """Write an entry in place of the one with its name."""
+        """Replace the entry with the same name."""
         others = [each for each in self.entries if each.name != entry.name]
         self.entries = [*others, entry]
 
     def drop(self, name):
-        """Let an entry lapse."""
+        """Remove an entry."""
         self.entries = [each for each in self.entries if each.name != name]
 
 
-class FewPeers:
-    """Answer what a follower asks of the other daemons."""
+class StubPeers:
+    """Stand in for the peers that a follower consults."""
 
     speaks = True
     group_size = 1
@@ -82,21 +82,21 @@
         self.rank = rank
 
     def fetch_delay(self):
-        """Fetch at once."""
+        """Return no delay."""
         return 0.0
 
     def learn(self, addresses):
-        """Know the daemons already."""
+        """Ignore addresses; all daemons are known."""
 
     def announce(self):
-        """Tell nobody; the fleet of this file tells each time."""
+        """Do nothing; the fleet distributes updates periodically."""
 
 
 class InlineFollower(Follower):
-    """Make blocking calls at once, and fetch from the other daemons of this file."""
+    """Run blocking calls synchronously and pull snapshots in memory."""
 
     def submit(self, work, done):
-        """Run the call and what follows it."""
+        """Run the call and its callback."""
         future = Future()
         try:
             future.set_result(work())
@@ -109,82 +109,82 @@
 
 
 class FollowingDaemon:
-    """Hold what one daemon knows and believes."""
+    """The store-following part of one daemon."""
 
     def __init__(self, fleet, host, rank):
         self.host = host
         self.fleet = fleet
         loop = fleet.loop
-        self.knowledge = RoutingState()
+        self.routing_state = RoutingState()
         self.guard = CrashGuard(loop, LoadTable())
-        self.beliefs = EndpointMonitor(
-            loop, self.knowledge, EndpointPool(loop), lambda: None, self.guard
+        self.monitor = EndpointMonitor(
+            loop, self.routing_state, EndpointPool(loop), lambda: None, self.guard
         )
         self.follower = InlineFollower(
             loop,
             fleet.store,
-            self.knowledge,
+            self.routing_state,
             Bounds(),
             1,
-            self.beliefs.on_endpoints_changed,
-            self.beliefs.on_configuration_changed,
-            self._write_again,
+            self.monitor.on_endpoints_changed,
+            self.monitor.on_configuration_changed,
+            self._rewrite,
         )
         self.follower.follower_by_host = fleet.follower_by_host
         fleet.follower_by_host[host] = self.follower
-        self.beliefs.set_follower(self.follower)
-        self.follower.start(FewPeers(rank), self._announce)
+        self.monitor.set_follower(self.follower)
+        self.follower.start(StubPeers(rank), self._announce)
         self.guard.start(fleet.store, self.follower.submit, lambda: rank == 0)
 
-    def names(self):
-        """Return the numbers of the endpoints in use."""
-        return sorted(int(each.name.split("-")[1]) for each in self.knowledge.usable(SERVICE))
+    def usable_numbers(self):
+        """Return the numbers of the usable endpoints."""
+        return sorted(int(each.name.split("-")[1]) for each in self.routing_state.usable(SERVICE))
 
     def _announce(self):
         self.fleet.store.announce(self.host, DaemonAddress(self.host, "zone-a"))
         return []
 
-    def _write_again(self):
+    def _rewrite(self):
         self.follower.submit(self._announce, lambda future: future.result())
         self.guard.rewrite_records()
 
 
 class Fleet:
-    """Hold daemons before one store, who tell each other ten times a second."""
+    """Daemons that share a store and exchange updates periodically."""
 
     def __init__(self):
         self.loop = SimulatedLoop()
         self.loop.clock = ManualClock()
-        self.store = CopyingStore()
+        self.store = RestorableStore()
         self.store.entries = [endpoint(1), endpoint(2), endpoint(3)]
         self.store.current = configuration(5)
         self.follower_by_host = {}
         self.daemons = []
         self.start(0)
         self.start(1)
-        self.loop.call_later(TOLD_SECONDS, self._tell)
-        # Longer ago than a daemon that starts takes any list for a restored one.
+        self.loop.call_later(UPDATE_INTERVAL_SECONDS, self._exchange_updates)
+        # Wait until new daemons no longer treat the first list as restored.
         self.loop.advance(10.0)
 
     def start(self, rank):
-        """Start a daemon that reads the store after ``rank`` others."""
-        made = FollowingDaemon(self, f"10.1.0.{len(self.daemons) + 1}", rank)
-        self.daemons.append(made)
-        return made
+        """Start a daemon of the given rank in the order of reads."""
+        daemon = FollowingDaemon(self, f"10.1.0.{len(self.daemons) + 1}", rank)
+        self.daemons.append(daemon)
+        return daemon
 
-    def pass_time(self, seconds):
-        """Let time pass."""
+    def advance(self, seconds):
+        """Advance the simulated time."""
         self.loop.advance(seconds)
 
-    def _tell(self):
-        for teller in self.daemons:
-            belief = teller.beliefs.build_peer_update()
+    def _exchange_updates(self):
+        for sender in self.daemons:
+            update = sender.monitor.build_peer_update()
             for other in self.daemons:
-                if other is teller:
+                if other is sender:
                     continue
-                other.beliefs.apply_peer_update(teller.host, belief)
-                other.beliefs.compare_with_peer(teller.host, belief)
-        self.loop.call_later(TOLD_SECONDS, self._tell)
+                other.monitor.apply_peer_update(sender.host, update)
+                other.monitor.compare_with_peer(sender.host, update)
+        self.loop.call_later(UPDATE_INTERVAL_SECONDS, self._exchange_updates)
 
 
 @given("two daemons that follow a store with endpoints 1, 2 and 3 and configuration 5")
@@ -193,70 +193,70 @@
     assert_use(context.fleet.daemons, [1, 2, 3])
 
 
-@when("the store makes a copy")
-def step_copy(context):
-    context.fleet.store.keep_copy()
+@when("the store is backed up")
+def step_back_up(context):
+    context.fleet.store.back_up()
 
 
-@when("the store makes a copy without daemons")
-def step_copy_without(context):
+@when("the store is backed up without daemons")
+def step_back_up_without_daemons(context):
     context.fleet.store.hosts = {}
-    context.fleet.store.keep_copy()
+    context.fleet.store.back_up()
 
 
-@when("the store comes back from its copy")
-def step_back(context):
-    context.fleet.pass_time(1.5)
-    context.fleet.store.come_back()
-    context.fleet.pass_time(0.7)
+@when("the store is restored from the backup")
+def step_restore(context):
+    context.fleet.advance(1.5)
+    context.fleet.store.restore()
+    context.fleet.advance(0.7)
 
 
-@when("endpoint {number:d} begins to leave")
-def step_leaves(context, number):
+@when("endpoint {number:d} starts draining")
+def step_drain(context, number):
     context.fleet.store.put(endpoint(number, draining=True))
-    context.fleet.pass_time(1.5)
+    context.fleet.advance(1.5)
 
 
-@when("endpoint {number:d} goes")
-@when("endpoint {number:d} lapses")
-def step_goes(context, number):
+@when("endpoint {number:d} is removed")
+@when("the entry of endpoint {number:d} expires")
+def step_remove(context, number):
     context.fleet.store.drop(f"engine-{number}")
-    context.fleet.pass_time(1.5)
+    context.fleet.advance(1.5)
 
 
-@when("endpoint {number:d} starts again")
-@when("endpoint {number:d} is written again")
-def step_starts_again(context, number):
+@when("endpoint {number:d} restarts")
+@when("endpoint {number:d} rewrites its entry")
+def step_restart(context, number):
     born = 1 if number == 4 else 2
     context.fleet.store.put(endpoint(number, born))
-    context.fleet.pass_time(1.5)
+    context.fleet.advance(1.5)
 
 
-@when("endpoint {number:d} is written again as it was")
+@when("endpoint {number:d} writes its earlier entry")
 @when("endpoint {number:d} joins")
 def step_joins(context, number):
     context.fleet.store.put(endpoint(number))
-    context.fleet.pass_time(1.5)
+    context.fleet.advance(1.5)
 
 
 @when("configuration {version:d} is published")
 def step_publish(context, version):
     context.fleet.store.current = configuration(version)
-    context.fleet.pass_time(1.5)
+    context.fleet.advance(1.5)
 
 
 @when("the daemons run for {seconds:g} s")
 def step_run(context, seconds):
-    context.fleet.pass_time(seconds)
+    context.fleet.advance(seconds)
 
 
 @when("a third daemon starts")
-def step_third(context):
+def step_third_daemon(context):
     context.fleet.start(2)
 
 
-@when("a third daemon starts and alone reads the store")
-def step_third_reads(context):
+@when("a third daemon starts and is the only one to read the store")
+def step_third_daemon_reads(context):
     for each in context.fleet.daemons:
         each.follower._read_not_before = float("inf")
     context.fleet.start(0)
@@ -264,18 +264,18 @@
 
 @when("a content is quarantined")
 def step_quarantined(context):
-    for number in range(1, ENDS + 1):
+    for number in range(1, QUARANTINE_EXITS + 1):
         entry = replace(endpoint(number), name=f"ended-{number}")
-        witness = AffectedRequest("r", CONTENT, began=True, lived=True)
-        context.fleet.daemons[1].guard.endpoint_ended(entry, [witness])
-        context.fleet.pass_time(0.5)
+        request = AffectedRequest("r", CONTENT, began=True, lived=True)
+        context.fleet.daemons[1].guard.endpoint_ended(entry, [request])
+        context.fleet.advance(0.5)
     assert CONTENT in context.fleet.store.quarantine_by_content
 
 
-@when("the content is answered whole")
-def step_released(context):
+@when("a request with the content succeeds")
+def step_succeeded(context):
     context.fleet.daemons[1].guard.request_served(CONTENT)
-    context.fleet.pass_time(0.5)
+    context.fleet.advance(0.5)
     assert CONTENT not in context.fleet.store.quarantine_by_content
 
 
@@ -290,21 +290,21 @@
 
 
 def assert_use(daemons, numbers):
-    found = [each.names() for each in daemons]
+    found = [each.usable_numbers() for each in daemons]
     assert found == [numbers] * len(daemons), found
 
 
 @then("both daemons use incarnation {born:d} of endpoint {number:d}")
 def step_incarnation(context, born, number):
     for each in context.fleet.daemons[:2]:
-        used = {entry.id for entry in each.knowledge.usable(SERVICE)}
+        used = {entry.id for entry in each.routing_state.usable(SERVICE)}
         assert f"engine-{number}@{born}" in used, used
 
 
 @then("both daemons have configuration {version:d}")
 @then("all daemons have configuration {version:d}")
 def step_version(context, version):
-    found = [each.knowledge.version for each in context.fleet.daemons]
+    found = [each.routing_state.version for each in context.fleet.daemons]
     assert found == [version] * len(found), found
 
 
@@ -323,29 +323,39 @@
     assert CONTENT not in context.fleet.store.quarantine_by_content
 
 
-@then("whatever happens in whatever order, no daemon goes back to what it knew to be over")
+@then("in any order of events no daemon returns to state that it knew to be obsolete")
 def step_any_order(_context):
-    kinds = ("copy", "back", "leave", "restart", "publish", "start", "wait", "cut", "heal")
+    kinds = (
+        "backup",
+        "restore",
+        "drain",
+        "restart",
+        "publish",
+        "start",
+        "wait",
+        "outage",
+        "recovery",
+    )
     steps = st.lists(st.tuples(st.sampled_from(kinds), st.integers(1, 3)), max_size=14)
 
     @settings(max_examples=60, deadline=None, database=None, derandomize=True)
     @for_all(steps)
     def holds(drawn):
         fleet = Fleet()
-        fleet.store.keep_copy()
-        over, version, back_at = set(), 5, -100.0
+        fleet.store.back_up()
+        obsolete, version, restored_at = set(), 5, -100.0
         born_by_number = {1: 1, 2: 1, 3: 1}
         for kind, number in drawn:
-            if kind == "copy":
-                fleet.store.keep_copy()
-            elif kind == "back":
-                fleet.store.come_back()
-                back_at = fleet.loop.now()
-            elif kind == "leave":
+            if kind == "backup":
+                fleet.store.back_up()
+            elif kind == "restore":
+                fleet.store.restore()
+                restored_at = fleet.loop.now()
+            elif kind == "drain":
                 fleet.store.put(endpoint(number, born_by_number[number], draining=True))
-                over.add(f"engine-{number}@{born_by_number[number]}")
+                obsolete.add(f"engine-{number}@{born_by_number[number]}")
             elif kind == "restart":
-                over.add(f"engine-{number}@{born_by_number[number]}")
+                obsolete.add(f"engine-{number}@{born_by_number[number]}")
                 born_by_number[number] += 1
                 fleet.store.put(endpoint(number, born_by_number[number]))
             elif kind == "publish":
@@ -353,31 +363,31 @@
                 fleet.store.current = configuration(version)
             elif kind == "start" and len(fleet.daemons) < 5:
                 fleet.start(len(fleet.daemons))
-            elif kind in ("cut", "heal"):
-                fleet.store.down = kind == "cut"
-            fleet.pass_time(0.8)
-            if fleet.loop.now() - back_at > 5.0:
-                # The endpoints and the operator have written again by now.
+            elif kind in ("outage", "recovery"):
+                fleet.store.down = kind == "outage"
+            fleet.advance(0.8)
+            if fleet.loop.now() - restored_at > 5.0:
+                # The endpoints and the operator have rewritten their records by now.
                 fleet.store.current = configuration(version)
                 for each, born in born_by_number.items():
-                    leaves = f"engine-{each}@{born}" in over
+                    leaves = f"engine-{each}@{born}" in obsolete
                     fleet.store.put(endpoint(each, born, draining=leaves))
             for daemon in fleet.daemons[:2]:
-                used = {each.id for each in daemon.knowledge.usable(SERVICE)}
-                known_over = {each for each in over if each in daemon.knew_over}
-                assert not used & known_over, (drawn, used, known_over)
-                assert daemon.knowledge.version >= daemon.knew_version, drawn
-                daemon.knew_over |= over - used
-                daemon.knew_version = daemon.knowledge.version
-
-    FollowingDaemon.knew_over = frozenset()
-    FollowingDaemon.knew_version = -1
+                used = {each.id for each in daemon.routing_state.usable(SERVICE)}
+                known_obsolete = {each for each in obsolete if each in daemon.known_obsolete_ids}
+                assert not used & known_obsolete, (drawn, used, known_obsolete)
+                assert daemon.routing_state.version >= daemon.known_version, drawn
+                daemon.known_obsolete_ids |= obsolete - used
+                daemon.known_version = daemon.routing_state.version
+
+    FollowingDaemon.known_obsolete_ids = frozenset()
+    FollowingDaemon.known_version = -1
     holds()
 
 
 class _EraHandler(BaseHTTPRequestHandler):
     def do_GET(self):
-        """Answer an empty page in the next era."""
+        """Respond with an empty page in the next era."""
         body = b'{"items": [], "has_more": false}'
         self.send_response(200)
         era = self.server.eras.pop(0)
@@ -388,10 +398,10 @@
         self.wfile.write(body)
 
     def log_message(self, *_arguments):
-        """Write nothing."""
+        """Suppress the log."""
 
 
-@given("a store on the platform that answers in eras {eras}")
+@given("a store on the platform that responds in eras {eras}")
 def step_eras(context, eras):
     context.era_server = ThreadingHTTPServer(("127.0.0.1", 0), _EraHandler)
     context.era_server.eras = eras.split(", ")
