--- a/features/gateway_decisions.feature
+++ b/features/gateway_decisions.feature
@@ -157,32 +157,32 @@
     And these are refused as peer messages: "", "[]", "{}", "[2,1,1,1,1,1,1]", "null", "[1", "\x05", "\x05\x09", "\x05\x02\x01", "\x04\x01"
 
   Scenario: A new daemon learns from a peer's snapshot what that peer knows by word only
-    Given a daemon that read a list and then heard that an endpoint leaves
-    When a new daemon takes its snapshot
+    Given a daemon that read a list and then got a report that an endpoint is draining
+    When a new daemon pulls its snapshot
     Then the new daemon does not use that endpoint
 
   Scenario: Lapsed entries are kept while the store settles, dropped ones are not
-    When the list is read, the store is away for 5 seconds, and the list comes back empty
-    Then the endpoints are kept for 2 seconds and dropped after that
-    When an entry leaves the list in a steady time
-    Then it is dropped at once
+    When the list is read, the store is unavailable for 5 seconds, and the next list is empty
+    Then the endpoints are kept for 2 seconds and removed after that
+    When an entry disappears from the list without an outage
+    Then its endpoint is removed at once
 
   Scenario: A list that was read earlier never replaces a newer one
-    When a list is read and an older one arrives from a peer
-    Then the newer one stays
+    When a list is read and an older one is received from a peer
+    Then the newer list is kept
 
   Scenario: Knowledge does not grow younger by being told to and fro
-    Given 2 daemons of which one read the list at 10 s
-    When each tells the other how old its knowledge is, 500 times, 2 ms on the way
-    Then both hold it to be read between 10 and 10.01 s
-    When the one reads the list again at 20 s and tells the other
-    Then both hold it to be read between 20 and 20.01 s
+    Given 2 daemons of which the first read the list at 10 s
+    When they send each other the age of their lists, 500 times, with a delay of 2 ms
+    Then both date the read between 10 and 10.01 s
+    When the first reads the list again at 20 s and sends an update
+    Then both date the read between 20 and 20.01 s
 
   Scenario: A peer's word that an endpoint leaves outlives a list that was read before it
-    When a peer says that a listed endpoint leaves
-    Then it gets no new work, also after an older list
-    And it is told to others for a while
-    And a list that was read later and shows it ready brings it back
+    When a peer reports that a listed endpoint is draining
+    Then it gets no new requests, even after an older list
+    And it is reported to peers for a while
+    And a later list that shows it ready restores it
 
   Scenario: The longest prefix decides, and a version never goes back
     When two versions with nested prefixes arrive in the wrong order
--- a/features/steps/gateway_knowledge_steps.py
+++ b/features/steps/gateway_knowledge_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what daemons know of endpoints and tell each other."""
+"""Steps for the routing state of daemons and the updates they send each other."""
 
 from concurrent.futures import Future
 
@@ -15,145 +15,145 @@
 from features.gateway_world import engine_entry
 
 
-@when("the list is read, the store is away for 5 seconds, and the list comes back empty")
-def step_lapse(context):
-    context.knowledge = RoutingState()
-    context.knowledge.apply_store_list([engine_entry(1), engine_entry(2)], 10.0)
-    context.knowledge.store_failed(14.5)
-    context.knowledge.apply_store_list([], 15.0)
+@when("the list is read, the store is unavailable for 5 seconds, and the next list is empty")
+def step_outage(context):
+    context.routing_state = RoutingState()
+    context.routing_state.apply_store_list([engine_entry(1), engine_entry(2)], 10.0)
+    context.routing_state.store_failed(14.5)
+    context.routing_state.apply_store_list([], 15.0)
 
 
-@then("the endpoints are kept for 2 seconds and dropped after that")
-def step_kept(context):
-    assert len(context.knowledge.usable("pool")) == 2
-    context.knowledge.apply_store_list([], 17.0)
-    assert len(context.knowledge.usable("pool")) == 2
-    changes = context.knowledge.apply_store_list([], 17.3)
+@then("the endpoints are kept for 2 seconds and removed after that")
+def step_kept_then_removed(context):
+    assert len(context.routing_state.usable("pool")) == 2
+    context.routing_state.apply_store_list([], 17.0)
+    assert len(context.routing_state.usable("pool")) == 2
+    changes = context.routing_state.apply_store_list([], 17.3)
     assert [change.change for change in changes] == ["gone", "gone"]
-    assert context.knowledge.usable("pool") == []
+    assert context.routing_state.usable("pool") == []
 
 
-@when("an entry leaves the list in a steady time")
-def step_leaves(context):
-    context.knowledge.apply_store_list([engine_entry(1), engine_entry(2)], 18.0)
-    context.knowledge.apply_store_list([engine_entry(2)], 18.5)
+@when("an entry disappears from the list without an outage")
+def step_entry_disappears(context):
+    context.routing_state.apply_store_list([engine_entry(1), engine_entry(2)], 18.0)
+    context.routing_state.apply_store_list([engine_entry(2)], 18.5)
 
 
-@then("it is dropped at once")
-def step_at_once(context):
-    assert [each.id for each in context.knowledge.usable("pool")] == ["engine-2"]
+@then("its endpoint is removed at once")
+def step_removed_at_once(context):
+    assert [each.id for each in context.routing_state.usable("pool")] == ["engine-2"]
 
 
-_ON_THE_WAY_SECONDS = 0.002
+_NETWORK_DELAY_SECONDS = 0.002
 
 
-def _tell(teller, hearer, now):
-    """Pass on how old a daemon's knowledge is; return the time of arrival."""
-    age = now - teller.read_at
-    arrival = now + _ON_THE_WAY_SECONDS
-    hearer.confirm_read(teller.digest, arrival - age, teller.reads)
+def _send_age(sender, receiver, now):
+    """Send the age of a daemon's list to another one; return the time of arrival."""
+    age = now - sender.read_at
+    arrival = now + _NETWORK_DELAY_SECONDS
+    receiver.confirm_read(sender.digest, arrival - age, sender.reads)
     return arrival
 
 
-@given("2 daemons of which one read the list at 10 s")
-def step_two(context):
+@given("2 daemons of which the first read the list at 10 s")
+def step_two_daemons(context):
     context.pair = RoutingState(), RoutingState()
     reader, other = context.pair
     reader.apply_store_list([engine_entry(1)], 10.0)
     other.apply_peer_list([engine_entry(1)], 10.0, reader.reads)
 
 
-@when("each tells the other how old its knowledge is, {count:d} times, 2 ms on the way")
-def step_to_and_fro(context, count):
+@when("they send each other the age of their lists, {count:d} times, with a delay of 2 ms")
+def step_exchange_ages(context, count):
     reader, other = context.pair
     now = 10.0
     for _ in range(count):
-        now = _tell(reader, other, now)
-        now = _tell(other, reader, now)
+        now = _send_age(reader, other, now)
+        now = _send_age(other, reader, now)
 
 
-@when("the one reads the list again at 20 s and tells the other")
+@when("the first reads the list again at 20 s and sends an update")
 def step_read_again(context):
     reader, other = context.pair
     reader.apply_store_list([engine_entry(1)], 20.0)
-    _tell(reader, other, 20.0)
+    _send_age(reader, other, 20.0)
 
 
-@then("both hold it to be read between {start:g} and {end:g} s")
+@then("both date the read between {start:g} and {end:g} s")
 def step_read_between(context, start, end):
-    for knowledge in context.pair:
-        assert start <= knowledge.read_at <= end, knowledge.read_at
+    for routing_state in context.pair:
+        assert start <= routing_state.read_at <= end, routing_state.read_at
 
 
-@when("a list is read and an older one arrives from a peer")
+@when("a list is read and an older one is received from a peer")
 def step_older_list(context):
-    context.knowledge = RoutingState()
-    context.knowledge.apply_store_list([engine_entry(2)], 10.0)
-    context.knowledge.apply_peer_list([engine_entry(1), engine_entry(2)], 9.0, 1)
+    context.routing_state = RoutingState()
+    context.routing_state.apply_store_list([engine_entry(2)], 10.0)
+    context.routing_state.apply_peer_list([engine_entry(1), engine_entry(2)], 9.0, 1)
 
 
-@then("the newer one stays")
+@then("the newer list is kept")
 def step_newer(context):
-    assert list(context.knowledge.endpoints_by_id) == ["engine-2"]
+    assert list(context.routing_state.endpoints_by_id) == ["engine-2"]
 
 
-@when("a peer says that a listed endpoint leaves")
-def step_word(context):
-    context.knowledge = RoutingState()
-    context.knowledge.apply_store_list([engine_entry(1), engine_entry(2)], 10.0)
-    assert context.knowledge.mark_draining("engine-1", 11.0)
-    assert not context.knowledge.mark_draining("engine-1", 11.1)
+@when("a peer reports that a listed endpoint is draining")
+def step_drain_report(context):
+    context.routing_state = RoutingState()
+    context.routing_state.apply_store_list([engine_entry(1), engine_entry(2)], 10.0)
+    assert context.routing_state.mark_draining("engine-1", 11.0)
+    assert not context.routing_state.mark_draining("engine-1", 11.1)
 
 
-@then("it gets no new work, also after an older list")
-def step_word_stays(context):
-    context.knowledge.apply_store_list([engine_entry(1), engine_entry(2)], 10.9)
-    assert [each.id for each in context.knowledge.usable("pool")] == ["engine-2"]
+@then("it gets no new requests, even after an older list")
+def step_drain_kept(context):
+    context.routing_state.apply_store_list([engine_entry(1), engine_entry(2)], 10.9)
+    assert [each.id for each in context.routing_state.usable("pool")] == ["engine-2"]
 
 
-@then("it is told to others for a while")
-def step_word_told(context):
-    assert list(context.knowledge.recently_left(12.0)) == ["engine-1"]
-    assert context.knowledge.recently_left(16.0) == {}
+@then("it is reported to peers for a while")
+def step_drain_reported(context):
+    assert list(context.routing_state.recently_left(12.0)) == ["engine-1"]
+    assert context.routing_state.recently_left(16.0) == {}
 
 
-@then("a list that was read later and shows it ready brings it back")
-def step_word_back(context):
-    context.knowledge.apply_store_list([engine_entry(1), engine_entry(2)], 16.5)
-    assert len(context.knowledge.usable("pool")) == 2
+@then("a later list that shows it ready restores it")
+def step_drain_ended(context):
+    context.routing_state.apply_store_list([engine_entry(1), engine_entry(2)], 16.5)
+    assert len(context.routing_state.usable("pool")) == 2
 
 
-class ListedEntries:
-    """Decode entries as they are named here; the list itself comes from peers."""
+class StubDecoder:
+    """Decode any record to an entry with its key as the name."""
 
     def decode_endpoint(self, record):
-        """Return an entry that takes new work."""
+        """Return an entry that accepts new requests."""
         return EndpointEntry(record.key, "pool", "10.0.0.1:80", "zone-a", 8, False)
 
 
 def follower_that_pulled(snapshot):
-    """Return a daemon's knowledge and follower after it took a peer's snapshot."""
-    knowledge = RoutingState()
+    """Return the routing state and follower of a daemon that pulled a peer's snapshot."""
+    routing_state = RoutingState()
     ignored = [lambda *_: None] * 3
-    follower = Follower(SimulatedLoop(), ListedEntries(), knowledge, Bounds(), 1, *ignored)
+    follower = Follower(SimulatedLoop(), StubDecoder(), routing_state, Bounds(), 1, *ignored)
     pulled = Future()
     pulled.set_result(Snapshot.decode(snapshot))
     follower._pull_done("10.1.0.1", 90.0, 1, pulled)
-    return knowledge, follower
+    return routing_state, follower
 
 
-@given("a daemon that read a list and then heard that an endpoint leaves")
-def step_heard_leaving(context):
+@given("a daemon that read a list and then got a report that an endpoint is draining")
+def step_received_report(context):
     listed = Snapshot(None, (SharedRecord("engine-1", b""), SharedRecord("engine-2", b"")))
-    knowledge, context.teller = follower_that_pulled(listed.encode())
-    assert knowledge.mark_draining("engine-1", 95.0)
+    routing_state, context.sender = follower_that_pulled(listed.encode())
+    assert routing_state.mark_draining("engine-1", 95.0)
 
 
-@when("a new daemon takes its snapshot")
-def step_take_snapshot(context):
-    context.knowledge, _ = follower_that_pulled(context.teller.snapshot())
+@when("a new daemon pulls its snapshot")
+def step_pull_snapshot(context):
+    context.routing_state, _ = follower_that_pulled(context.sender.snapshot())
 
 
 @then("the new daemon does not use that endpoint")
 def step_not_used(context):
-    assert [entry.id for entry in context.knowledge.usable("pool")] == ["engine-2"]
+    assert [entry.id for entry in context.routing_state.usable("pool")] == ["engine-2"]
