--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -300,7 +300,7 @@
     reads = context.store.calls
     eventually(lambda: context.store.calls > reads + 2, "the store was asked")
     # As after an absence that is longer than any pause between reads.
-    knowledge._away = True
+    knowledge._store_unavailable = True
     context.store.entries = []
     context.store.down = False
 
