--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -97,7 +97,13 @@
         entry = next(each for each in self.entries if each.id not in exchange.tried_endpoints)
         first_event_ms = _LATE_FIRST_EVENT_MS if self.harm else _TIMELY_FIRST_EVENT_MS
         return Placement(
-            entry, (), (), first_event_ms, "test", interference_tokens=self.harm, best_first_event_ms=10.0
+            entry,
+            (),
+            (),
+            first_event_ms,
+            "test",
+            interference_tokens=self.harm,
+            best_first_event_ms=10.0,
         )
 
     def next_attempt_number(self):
--- a/src/brassdrum/gateway/guards/crash_guard.py
+++ b/src/brassdrum/gateway/guards/crash_guard.py
@@ -15,12 +15,12 @@
 from brassdrum.gateway.net.loop import EventLoop
 from brassdrum.gateway.placing.load import LoadTable, endpoint_key
 from brassdrum.outcomes.quarantine import (
-    QUARANTINE_SECONDS,
     PROPAGATION_SECONDS,
+    QUARANTINE_SECONDS,
+    ContentStatus,
     CrashReport,
-    Quarantine,
     ObservedCrash,
-    ContentStatus,
+    Quarantine,
 )
 from brassdrum.telemetry import log_events
 
@@ -80,7 +80,9 @@
         """Return the record as a peer update; exits in the future count as happening now."""
         return CrashReport(
             self.content,
-            tuple(ObservedCrash(end.endpoint, max(0.0, now - end.at), end.soon) for end in self.ends),
+            tuple(
+                ObservedCrash(end.endpoint, max(0.0, now - end.at), end.soon) for end in self.ends
+            ),
         )
 
 
--- a/src/brassdrum/gateway/peering/group.py
+++ b/src/brassdrum/gateway/peering/group.py
@@ -5,7 +5,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from brassdrum.gateway.following.suspicion import CORROBORATION_SECONDS, FailureNotice, unexpired_notices
+from brassdrum.gateway.following.suspicion import (
+    CORROBORATION_SECONDS,
+    FailureNotice,
+    unexpired_notices,
+)
 from brassdrum.gateway.peering.peer_messages import Acknowledgement, PeerStatus, Report, Sender
 from brassdrum.gateway.placing.load import EndpointLoad, LoadRow
 
@@ -94,13 +98,19 @@
     def failing(self, now: float) -> list[FailureNotice]:
         """Return the endpoints that members avoid because of failures they observed."""
         members = self._member_by_host.values()
-        return [w for each in members for w in unexpired_notices(each.status.failing, now - each.heard_at)]
+        return [
+            w
+            for each in members
+            for w in unexpired_notices(each.status.failing, now - each.heard_at)
+        ]
 
     def recent_failures(self, now: float) -> set[str]:
         """Return the endpoints at which members recently observed a failure."""
         members = self._member_by_host.values()
         fresh = [
-            each.status.recent_failures for each in members if now - each.heard_at < CORROBORATION_SECONDS
+            each.status.recent_failures
+            for each in members
+            if now - each.heard_at < CORROBORATION_SECONDS
         ]
         return {endpoint for failures in fresh for endpoint in failures}
 
--- a/src/brassdrum/gateway/request/admission.py
+++ b/src/brassdrum/gateway/request/admission.py
@@ -32,7 +32,9 @@
     request_id: str | None = None
 
 
-def admit(knowledge: RoutingState, dialect: Dialect, head: RequestHead) -> AdmittedRequest | Refusal:
+def admit(
+    knowledge: RoutingState, dialect: Dialect, head: RequestHead
+) -> AdmittedRequest | Refusal:
     """Return the request with its route and organisation, or the reason for its refusal."""
     configuration = knowledge.configuration
     if configuration is None:
--- a/src/brassdrum/gateway/request/attempt.py
+++ b/src/brassdrum/gateway/request/attempt.py
@@ -129,7 +129,9 @@
         )
         self._context.load_changed()
         reservations = tuple(
-            Reservation(each.entry.address, self.reservation_id(each.entry.name), each.stored_tokens)
+            Reservation(
+                each.entry.address, self.reservation_id(each.entry.name), each.stored_tokens
+            )
             for each in self._placement.helpers
             if each.stored_tokens
         )
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -152,7 +152,9 @@
             return
         failed_endpoint = attempt.endpoint
         if reply.culprit is not None:
-            failed_endpoint = self._context.knowledge.find_endpoint(reply.culprit) or failed_endpoint
+            failed_endpoint = (
+                self._context.knowledge.find_endpoint(reply.culprit) or failed_endpoint
+            )
         if reply.kind is ReplyKind.WRONG_ENDPOINT and failed_endpoint == attempt.endpoint:
             self._context.beliefs.address_reused(attempt.endpoint)
         elif failed_endpoint != attempt.endpoint:
