--- a/features/steps/lending_steps.py
+++ b/features/steps/lending_steps.py
@@ -9,7 +9,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from brassdrum.admission.lending import BorrowerDemand, Census, Lender, lender_of
+from brassdrum.admission.lending import BorrowerDemand, Lender, MembershipView, lender_of
 from brassdrum.admission.limits import Allowance, LocalLimiter
 from brassdrum.caller import Caller
 from brassdrum.clock import ManualClock
@@ -48,7 +48,7 @@
     def census(self):
         """Return who is heard; those who left by plan are not known any more."""
         live = [name for name in self.running if name not in self.left | self.silent]
-        return Census(live, sorted({*live, *self.silent}))
+        return MembershipView(live, sorted({*live, *self.silent}))
 
     def renew(self, daemon):
         """Let a daemon ask; return for how many requests at once it has room."""
@@ -363,7 +363,7 @@
             limiter = limiters[name]
             if asks or until[name] <= now:
                 asked = BorrowerDemand(2.0 * count, 2e3 * count, count, limiter.in_flight)
-                grant = lender.lend(name, asked, Census(names, names), now)
+                grant = lender.lend(name, asked, MembershipView(names, names), now)
                 until[name] = grant.expires
                 limiter.set_allowance(grant.allowance, now)
                 limiter.add_burst(grant.burst_requests, grant.burst_tokens, now)
--- a/features/steps/limit_book_steps.py
+++ b/features/steps/limit_book_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from brassdrum.admission.lending import Census
+from brassdrum.admission.lending import MembershipView
 from brassdrum.clock import ManualClock
 from brassdrum.daemon.limits import LimitBook
 from brassdrum.errors import LimitExceededError
@@ -55,7 +55,7 @@
                 name,
                 self.clock,
                 self,
-                lambda: Census(self.names, self.names),
+                lambda: MembershipView(self.names, self.names),
                 lambda daemon: daemon,
                 ControlCost(),
             )
--- a/features/steps/property_steps.py
+++ b/features/steps/property_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brassdrum.admission.lending import BorrowerDemand, Census, Lender
+from brassdrum.admission.lending import BorrowerDemand, Lender, MembershipView
 from brassdrum.admission.limits import Allowance, LocalLimiter, TokenBucket
 from brassdrum.admission.queue import FairQueue
 from brassdrum.admission.work import Work
@@ -135,7 +135,7 @@
         bucket, now, given_out, largest = TokenBucket(rate, 0.0), 0.0, 0.0, 0.0
         for pause, amount in steps:
             now += pause
-            if bucket.wait(now) == 0.0:
+            if bucket.wait_seconds(now) == 0.0:
                 bucket.take(amount, now)
                 given_out += amount
                 largest = max(largest, amount)
@@ -162,7 +162,9 @@
         lender, now, grants = Lender(limits, 2.0, 0.0), 0.0, {}
         for number, demand, pause in requests:
             now += pause
-            grants[number] = lender.lend(daemons[number], demand, Census(daemons, daemons), now)
+            grants[number] = lender.lend(
+                daemons[number], demand, MembershipView(daemons, daemons), now
+            )
             live = [grant.allowance for grant in grants.values() if grant.expires > now]
             assert sum(item.requests_per_second for item in live) <= 100.0 + 1e-6
             assert sum(item.tokens_per_second for item in live) <= 1e5 + 1e-3
@@ -181,7 +183,7 @@
         lender, last = Lender(limits, 2.0, 0.0), {}
         for tick in range(20):
             for daemon in side:
-                last[daemon] = lender.lend(daemon, busy, Census(side, known), tick * 0.5)
+                last[daemon] = lender.lend(daemon, busy, MembershipView(side, known), tick * 0.5)
         total += sum(grant.allowance.requests_per_second for grant in last.values())
         concurrency += sum(grant.allowance.concurrency for grant in last.values())
     assert 85.0 <= total <= 90.0 + 1e-6, total
@@ -190,7 +192,7 @@
 
 @then("a daemon that comes new while another holds all it wants gets a slice at once")
 def step_newcomer_slice(context):
-    census = Census(["d0", "d1"], ["d0", "d1"])
+    census = MembershipView(["d0", "d1"], ["d0", "d1"])
     for demand in (BorrowerDemand(1.0, 1e3, 2), BorrowerDemand(500.0, 5e5, 500)):
         lender = Lender(Allowance(100.0, 1e5, 1000), 2.0, -10.0)
         for tick in range(8):
@@ -204,10 +206,12 @@
     old = ["d0", "d1", "d2"]
     lender = Lender(Allowance(1000.0, 1e7, 1000), 2.0, 0.0)
     for number, daemon in enumerate(old):
-        lender.lend(daemon, BorrowerDemand(40.0, 2e3, 3), Census(old, old), 1.7 + 0.1 * number)
+        lender.lend(
+            daemon, BorrowerDemand(40.0, 2e3, 3), MembershipView(old, old), 1.7 + 0.1 * number
+        )
     everyone = [*old, "d3"]
     asked = BorrowerDemand(1.0, 50.0, 1)
-    slice_ = lender.lend("d3", asked, Census(everyone, everyone), 2.05).allowance
+    slice_ = lender.lend("d3", asked, MembershipView(everyone, everyone), 2.05).allowance
     assert slice_.concurrency >= 8, slice_
     assert slice_.requests_per_second >= asked.requests_per_second, slice_
 
@@ -227,7 +231,7 @@
     lender = Lender(Allowance(1000.0, 1e7, 1000), 2.0, 0.0)
     asked = BorrowerDemand(3.0, 100.0, 2)
     for name in names:
-        lender.lend(name, asked, Census(names, names), 1.9)
+        lender.lend(name, asked, MembershipView(names, names), 1.9)
     slice_ = lender.lend("d3", asked, census, 2.2).allowance
     assert slice_.concurrency >= 8, slice_
 
@@ -235,7 +239,7 @@
 @then("one daemon with all the demand gets nearly the whole limit")
 def step_skewed(context):
     daemons = [f"d{n}" for n in range(9)]
-    census = Census(daemons, daemons)
+    census = MembershipView(daemons, daemons)
     lender = Lender(Allowance(100.0, 1e5, 18), 2.0, 0.0)
     busy = BorrowerDemand(200.0, 2e5, 30)
     idle = BorrowerDemand(0.0, 0.0, 0)
--- a/src/brassdrum/admission/limits.py
+++ b/src/brassdrum/admission/limits.py
@@ -8,7 +8,7 @@
 __all__ = ["Allowance", "DemandMeter", "LocalLimiter", "Refusal", "TokenBucket"]
 
 _BURST_SECONDS = 1.0
-_DEMAND_HALF_LIFE = 1.0
+_DEMAND_HALF_LIFE_SECONDS = 1.0
 # Nobody knows when a place comes free; slices follow their callers within about a second.
 _CONCURRENCY_RETRY_SECONDS = 1.0
 
@@ -44,25 +44,25 @@
     def __init__(self, rate: float, now: float) -> None:
         self._rate = rate
         self._level = rate * _BURST_SECONDS
-        self._at = now
+        self._updated_at = now
 
     def set_rate(self, rate: float, now: float) -> float:
         """Change the rate and return what no longer fits; what has been overdrawn stays."""
-        self._fill(now)
+        self._refill(now)
         self._rate = rate
-        over = max(0.0, self._level - self._depth())
+        over = max(0.0, self._level - self._capacity())
         self._level -= over
         return over
 
     def empty(self, now: float) -> None:
         """Take all that is left."""
-        self._fill(now)
+        self._refill(now)
         self._level = min(self._level, 0.0)
 
-    def wait(self, now: float, amount: float = 0.0) -> float:
+    def wait_seconds(self, now: float, amount: float = 0.0) -> float:
         """Return the seconds until something may be taken, 0 for now."""
-        self._fill(now)
-        missing = min(amount, self._depth()) - self._level
+        self._refill(now)
+        missing = min(amount, self._capacity()) - self._level
         if missing <= 0 and self._level > 0:
             return 0.0
         if self._rate <= 0:
@@ -71,41 +71,41 @@
 
     def take(self, amount: float, now: float) -> None:
         """Take an amount; a negative one gives back."""
-        self._fill(now)
-        self._level = min(self._level - amount, self._depth())
+        self._refill(now)
+        self._level = min(self._level - amount, self._capacity())
 
-    def _depth(self) -> float:
+    def _capacity(self) -> float:
         return max(1.0, self._rate * _BURST_SECONDS)
 
-    def _fill(self, now: float) -> None:
-        elapsed = max(0.0, now - self._at)
-        self._at = now
-        self._level = min(self._depth(), self._level + elapsed * self._rate)
+    def _refill(self, now: float) -> None:
+        elapsed = max(0.0, now - self._updated_at)
+        self._updated_at = now
+        self._level = min(self._capacity(), self._level + elapsed * self._rate)
 
 
 class DemandMeter:
     """Measure what callers ask for, refused or not, with older demand fading."""
 
-    def __init__(self, now: float, half_life: float = _DEMAND_HALF_LIFE) -> None:
+    def __init__(self, now: float, half_life: float = _DEMAND_HALF_LIFE_SECONDS) -> None:
         self._half_life = half_life
-        self._at = now
+        self._updated_at = now
         self._requests = 0.0
         self._tokens = 0.0
 
     def add(self, tokens: float, now: float) -> None:
         """Count one request."""
-        self._fade(now)
+        self._decay(now)
         self._requests += math.log(2) / self._half_life
         self._tokens += tokens * math.log(2) / self._half_life
 
     def rates(self, now: float) -> tuple[float, float]:
         """Return requests and tokens per second."""
-        self._fade(now)
+        self._decay(now)
         return self._requests, self._tokens
 
-    def _fade(self, now: float) -> None:
-        factor = 0.5 ** (max(0.0, now - self._at) / self._half_life)
-        self._at = now
+    def _decay(self, now: float) -> None:
+        factor = 0.5 ** (max(0.0, now - self._updated_at) / self._half_life)
+        self._updated_at = now
         self._requests *= factor
         self._tokens *= factor
 
@@ -119,8 +119,8 @@
         self._tokens = TokenBucket(allowance.tokens_per_second, now)
         self.demand = DemandMeter(now)
         self.in_flight = 0
-        self.most_in_flight = 0
-        self.refused_for_concurrency = 0
+        self.peak_in_flight = 0
+        self.concurrency_refusals = 0
 
     @property
     def allowance(self) -> Allowance:
@@ -143,43 +143,43 @@
     def acquire(self, tokens: int, now: float) -> Refusal | None:
         """Take room for a request, or return why there is none."""
         self.demand.add(tokens, now)
-        return self.acquire_again(tokens, now)
+        return self.retry_acquire(tokens, now)
 
-    def acquire_again(self, tokens: int, now: float) -> Refusal | None:
+    def retry_acquire(self, tokens: int, now: float) -> Refusal | None:
         """Try once more for a request that is counted as demand already."""
         refusal = self.refusal(now)
         if refusal is not None:
             if refusal.limit == "concurrency":
-                self.refused_for_concurrency += 1
+                self.concurrency_refusals += 1
             return refusal
         self._requests.take(1.0, now)
         self._tokens.take(tokens, now)
         self.in_flight += 1
-        self.most_in_flight = max(self.most_in_flight, self.in_flight)
+        self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
         return None
 
     def refusal(self, now: float) -> Refusal | None:
         """Return why there is no room for a request now, or None."""
         if self.in_flight >= self._allowance.concurrency:
             return Refusal("concurrency", _CONCURRENCY_RETRY_SECONDS)
-        wait = self._requests.wait(now, 1.0)
+        wait = self._requests.wait_seconds(now, 1.0)
         if wait > 0:
             return Refusal("requests_per_second", wait)
-        wait = self._tokens.wait(now)
+        wait = self._tokens.wait_seconds(now)
         return Refusal("tokens_per_second", wait) if wait > 0 else None
 
-    def release(self, estimated_tokens: int, real_tokens: int, now: float) -> None:
+    def release(self, estimated_tokens: int, actual_tokens: int, now: float) -> None:
         """Give the request's place back and correct its tokens by what it really used."""
         self.in_flight = max(0, self.in_flight - 1)
-        self._tokens.take(real_tokens - estimated_tokens, now)
+        self._tokens.take(actual_tokens - estimated_tokens, now)
 
-    def wanted_concurrency(self) -> int:
+    def pop_concurrency_demand(self) -> int:
         """Return how many requests would have run at once, since last asked, if nothing held them.
 
         The most that ran counts, not what runs now: a daemon that asked between two requests was
         lent 8 places of 30 where the two others, as busy, got 9 and 11.
         """
-        wanted = self.most_in_flight + min(self.refused_for_concurrency, self.most_in_flight + 1)
-        self.refused_for_concurrency = 0
-        self.most_in_flight = self.in_flight
+        wanted = self.peak_in_flight + min(self.concurrency_refusals, self.peak_in_flight + 1)
+        self.concurrency_refusals = 0
+        self.peak_in_flight = self.in_flight
         return wanted
--- a/src/brassdrum/admission/shares.py
+++ b/src/brassdrum/admission/shares.py
@@ -7,27 +7,27 @@
 from dataclasses import dataclass
 
 __all__ = [
-    "NEXT_CALLER",
+    "CONCURRENCY_HEADROOM",
     "LimitState",
-    "first_share",
-    "place_share",
-    "places_kept_back",
+    "first_term_share",
+    "concurrency_share",
+    "reserved_slots",
     "rate_share",
     "water_fill",
 ]
 
 # Part of a limit that daemons which are known do not get, so that one that comes new finds some.
-_NEWCOMERS_PART = 0.03
+_NEWCOMER_RESERVE_FRACTION = 0.03
 # Of what nobody asks for this part is lent too, evenly, for callers that come before the next
 # renewal; the rest waits at the lender, which a daemon asks before it refuses. Lent by need, half
 # of it, a newcomer got 2 of 1000 places beside three daemons that ran 200 each, 400 free.
-_UNASKED_LENT = 0.25
+_SURPLUS_SHARED_FRACTION = 0.25
 # A daemon may take this part of what is free even if less than the newcomers' part is left: the
 # next one then finds some too, where all of it would leave nothing for up to a term.
-_PART_OF_FREE = 0.5
+_MAX_FRACTION_OF_FREE = 0.5
 # What a daemon asks for beyond the places that its callers want: room for the next one.
-NEXT_CALLER = 1.0
-_ROUNDING = 1e-9
+CONCURRENCY_HEADROOM = 1.0
+_EPSILON = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,10 +40,10 @@
     """
 
     limit: float
-    heard: float
-    asked: Mapping[str, float]
+    live_fraction: float
+    demands: Mapping[str, float]
     held_by_others: float
-    held_unheard: float
+    held_by_unreachable: float
 
     @property
     def free(self) -> float:
@@ -53,8 +53,8 @@
         they hold of this lender is in that part: counted besides, it cut the survivor of three
         daemons that were killed at once to nothing for a term.
         """
-        kept_for_unheard = max(self.limit * (1.0 - self.heard), self.held_unheard)
-        held_by_heard = self.held_by_others - self.held_unheard
+        kept_for_unheard = max(self.limit * (1.0 - self.live_fraction), self.held_by_unreachable)
+        held_by_heard = self.held_by_others - self.held_by_unreachable
         return max(0.0, self.limit - kept_for_unheard - held_by_heard)
 
 
@@ -71,38 +71,38 @@
         shares[name] = share
         left -= share
     if demands:
-        more = left * _UNASKED_LENT / len(demands)
+        more = left * _SURPLUS_SHARED_FRACTION / len(demands)
         shares = {name: share + more for name, share in shares.items()}
     return shares
 
 
 def rate_share(daemon: str, state: LimitState) -> float:
     """Return a daemon's part of a rate."""
-    heard_limit = state.limit * state.heard
-    kept_back = heard_limit * _NEWCOMERS_PART
-    fair = water_fill(heard_limit - kept_back, state.asked)[daemon]
-    return min(fair, max(state.free - kept_back, state.free * _PART_OF_FREE))
+    heard_limit = state.limit * state.live_fraction
+    kept_back = heard_limit * _NEWCOMER_RESERVE_FRACTION
+    fair = water_fill(heard_limit - kept_back, state.demands)[daemon]
+    return min(fair, max(state.free - kept_back, state.free * _MAX_FRACTION_OF_FREE))
 
 
-def place_share(daemon: str, state: LimitState) -> int:
+def concurrency_share(daemon: str, state: LimitState) -> int:
     """Return a daemon's part of a number of places; one that asks gets one while any is free."""
-    heard_limit = math.floor(state.limit * state.heard + _ROUNDING)
-    kept_back = places_kept_back(heard_limit)
-    fair = math.floor(water_fill(heard_limit - kept_back, state.asked)[daemon] + _ROUNDING)
-    free = math.floor(state.free + _ROUNDING)
-    most = max(free - kept_back, math.ceil(free * _PART_OF_FREE))
+    heard_limit = math.floor(state.limit * state.live_fraction + _EPSILON)
+    kept_back = reserved_slots(heard_limit)
+    fair = math.floor(water_fill(heard_limit - kept_back, state.demands)[daemon] + _EPSILON)
+    free = math.floor(state.free + _EPSILON)
+    most = max(free - kept_back, math.ceil(free * _MAX_FRACTION_OF_FREE))
     # Parts below one place would leave all places unused: the first that asks get one each.
-    return min(max(fair, _least_places(state.asked[daemon])), most)
+    return min(max(fair, _min_slots(state.demands[daemon])), most)
 
 
-def places_kept_back(limit: int) -> int:
+def reserved_slots(limit: int) -> int:
     """Return how many places wait for newcomers; at least one of two and more."""
     if limit < 2:
         return 0
-    return max(1, math.floor(limit * _NEWCOMERS_PART))
+    return max(1, math.floor(limit * _NEWCOMER_RESERVE_FRACTION))
 
 
-def first_share(static: float, asked: float) -> float:
+def first_term_share(static: float, asked: float) -> float:
     """Return a daemon's part in a lender's first term: static, or less if it asks for less.
 
     Half of what it does not ask for waits: static parts of all would take up the whole limit, and
@@ -111,5 +111,5 @@
     return static if asked >= static else (static + asked) / 2.0
 
 
-def _least_places(asked: float) -> int:
-    return 1 if asked > NEXT_CALLER else 0
+def _min_slots(asked: float) -> int:
+    return 1 if asked > CONCURRENCY_HEADROOM else 0
--- a/src/brassdrum/bench/decisions.py
+++ b/src/brassdrum/bench/decisions.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from brassdrum.admission.lending import BorrowerDemand, Census, Lender
+from brassdrum.admission.lending import BorrowerDemand, Lender, MembershipView
 from brassdrum.admission.limits import Allowance
 from brassdrum.admission.queue import FairQueue
 from brassdrum.admission.work import Work
@@ -110,7 +110,7 @@
 
 def _lending(daemons: int) -> Figure:
     names = [f"daemon-{number}" for number in range(daemons)]
-    census = Census(names, names)
+    census = MembershipView(names, names)
     lender = Lender(Allowance(1000.0, 1e6, 1000), 2.0, -10.0)
     demand = BorrowerDemand(10.0, 1e4, 5)
     for name in names:
--- a/src/brassdrum/daemon/lenders.py
+++ b/src/brassdrum/daemon/lenders.py
@@ -6,7 +6,7 @@
 import threading
 from collections.abc import Callable, Mapping
 
-from brassdrum.admission.lending import BorrowerDemand, Census, Grant, Lender
+from brassdrum.admission.lending import BorrowerDemand, Grant, Lender, MembershipView
 from brassdrum.admission.limits import Allowance
 from brassdrum.clock import Clock
 from brassdrum.membership.peer_pb2 import Demand, LendReply, LendRequest, Slice
@@ -24,7 +24,7 @@
         self,
         name: str,
         clock: Clock,
-        census: Callable[[], Census],
+        census: Callable[[], MembershipView],
         cost: ControlCost,
         term_seconds: float,
     ) -> None:
@@ -51,7 +51,7 @@
         """Return what is lent from here, by daemon; nothing where another one lends."""
         with self._lock:
             lender = self._by_organisation.get(organisation)
-            return {} if lender is None else lender.holders(self._clock.monotonic())
+            return {} if lender is None else lender.allowances_by_daemon(self._clock.monotonic())
 
     def lend(self, request: LendRequest) -> LendReply:
         """Return slices for a borrower, none where it gives its slices back."""
@@ -66,7 +66,7 @@
                 if lender is None:
                     continue
                 if request.gives_back:
-                    lender.give_back(request.borrower)
+                    lender.return_slice(request.borrower)
                     continue
                 grant = lender.lend(request.borrower, _demand(demand), census, now)
                 self._note_short(demand, request.borrower, grant, census)
@@ -83,7 +83,9 @@
             self._by_organisation[organisation] = lender
         return lender
 
-    def _note_short(self, demand: Demand, borrower: str, grant: Grant, census: Census) -> None:
+    def _note_short(
+        self, demand: Demand, borrower: str, grant: Grant, census: MembershipView
+    ) -> None:
         """Log when a borrower begins or ceases to be lent fewer places than it asks for."""
         key = (demand.organisation, borrower)
         short = grant.allowance.concurrency < demand.concurrency
--- a/src/brassdrum/daemon/limits.py
+++ b/src/brassdrum/daemon/limits.py
@@ -9,7 +9,7 @@
 
 import grpc
 
-from brassdrum.admission.lending import Census, Grant, lender_of, static_slice
+from brassdrum.admission.lending import Grant, MembershipView, lender_of, static_slice
 from brassdrum.admission.limits import Allowance, LocalLimiter, Refusal
 from brassdrum.clock import Clock
 from brassdrum.contracts.documents import Contract
@@ -48,7 +48,7 @@
         name: str,
         clock: Clock,
         clients: PeerClients,
-        census: Callable[[], Census],
+        census: Callable[[], MembershipView],
         address_of: Callable[[str], str | None],
         cost: ControlCost,
         term_seconds: float = _TERM_SECONDS,
@@ -85,7 +85,7 @@
         for _ in range(_MOST_DOUBLINGS):
             if refusal is None or not self._borrow_more(organisation, refusal):
                 break
-            refusal = self._try(organisation, tokens, LocalLimiter.acquire_again)
+            refusal = self._try(organisation, tokens, LocalLimiter.retry_acquire)
         if refusal is None:
             return
         self._tell_refusal(organisation, refusal)
@@ -306,7 +306,7 @@
         limits = self._limits_by_organisation.get(organisation, Allowance(0.0, 0.0, 0))
         static = static_slice(limits, self._name, self._census().known)
         if grant is not None and now - grant.expires < _LAPSED_TERMS * self._term:
-            return grant.lapsed(static)
+            return grant.fallback_allowance(static)
         return static
 
     def _demands(self) -> list[Demand]:
@@ -315,7 +315,7 @@
         with self._lock:
             for organisation, limiter in self._limiters_by_organisation.items():
                 requests, tokens = limiter.demand.rates(now)
-                wanted = limiter.wanted_concurrency()
+                wanted = limiter.pop_concurrency_demand()
                 if requests < _ACTIVE_RATE and wanted == 0:
                     continue
                 demands.append(
--- a/src/brassdrum/daemon/main.py
+++ b/src/brassdrum/daemon/main.py
@@ -6,7 +6,7 @@
 import threading
 from contextlib import ExitStack
 
-from brassdrum.admission.lending import Census
+from brassdrum.admission.lending import MembershipView
 from brassdrum.admission.limits import Allowance
 from brassdrum.charts import load_chart
 from brassdrum.clock import Clock, SystemClock
@@ -347,13 +347,13 @@
         with self.gossip.lock:
             return self.gossip.table.serving(self._clock.monotonic())
 
-    def _census(self) -> Census:
+    def _census(self) -> MembershipView:
         live = self._serving()
         with self.gossip.lock:
             left = self.gossip.table.left()
         # A daemon that leaves by plan is not cut off: what it still uses is counted as lent to it.
         # Counted as unheard besides, it left the next to renew with nothing for up to a term.
-        return Census(live, sorted({*live, *self._hosts.daemon_names()} - left))
+        return MembershipView(live, sorted({*live, *self._hosts.daemon_names()} - left))
 
     def _peer_address(self, daemon: str) -> str | None:
         with self.gossip.lock:
