--- a/src/brassdrum/admission/__init__.py
+++ b/src/brassdrum/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions on what is admitted, when and in which order."""
+"""Admission control: rate limits, quota lending and fair queueing, without I/O."""
--- a/src/brassdrum/admission/lending.py
+++ b/src/brassdrum/admission/lending.py
@@ -1,4 +1,4 @@
-"""Lend slices of an organisation's limits to daemons: one lender an organisation, short terms."""
+"""Grant daemons short-term slices of an organisation's limits, from one lender per organisation."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 __all__ = ["BorrowerDemand", "Grant", "Lender", "MembershipView", "lender_of", "static_slice"]
 
-# Rates are lent with a quarter more than was asked for lately, for what comes before the renewal.
+# Covers growth in demand until the next renewal.
 _RATE_HEADROOM_FACTOR = 1.25
 
 
@@ -28,7 +28,7 @@
 
 
 def lender_of(organisation: str, daemons: Sequence[str]) -> str | None:
-    """Return the daemon that lends an organisation's limits, by rendezvous hashing."""
+    """Select the daemon that lends an organisation's limits, by rendezvous hashing."""
     return max(
         daemons,
         key=lambda daemon: (_rendezvous_weight(organisation, daemon), daemon),
@@ -37,7 +37,7 @@
 
 
 def static_slice(limits: Allowance, daemon: str, daemons: Sequence[str]) -> Allowance:
-    """Return the part that a daemon may use when it cannot reach the lender."""
+    """Return the equal share that a daemon may use when it cannot reach the lender."""
     ordered = sorted({*daemons, daemon})
     part = limits.scaled(1.0 / len(ordered))
     spare = limits.concurrency - part.concurrency * len(ordered)
@@ -47,28 +47,28 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
-    """Tell which daemons are heard and which are known of, heard or not."""
+    """The daemons that are live and all that are known, reachable or not."""
 
     live: Sequence[str]
     known: Sequence[str]
 
     @property
     def live_fraction(self) -> float:
-        """Return the part of the known daemons that is heard, above 0."""
+        """Fraction of the known daemons that is live, greater than 0."""
         known = {*self.known, *self.live}
         return len(set(self.live)) / len(known) if known else 1.0
 
     @property
     def unreachable(self) -> set[str]:
-        """Return the known daemons that are not heard."""
+        """Known daemons that are not live."""
         return set(self.known) - set(self.live)
 
 
 @dataclass(frozen=True, slots=True)
 class BorrowerDemand:
-    """Tell what one daemon's callers ask for and how many of their requests run there.
+    """Demand of one daemon's callers, and the number of their requests in flight.
 
-    ``concurrency`` counts refused callers too, so it is no measure of what runs.
+    ``concurrency`` includes refused requests; ``running`` counts requests in flight only.
     """
 
     requests_per_second: float
@@ -77,9 +77,9 @@
     running: int | None = None
 
     def in_use(self, held: float | None) -> int:
-        """Return how many places are in use at most by a daemon that held some until now.
+        """Return an upper bound of the slots in use at a daemon that has held ``held`` slots.
 
-        Where ``running`` is not told, all that callers want counts, up to what the daemon held.
+        Without ``running``, this is the demanded concurrency, capped at the slots held.
         """
         if self.running is not None:
             return self.running
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Hold what was lent to a daemon until a time, and the unused burst that comes with it."""
+    """A slice granted to a daemon until it expires, and the unused burst transferred with it."""
 
     allowance: Allowance
     expires: float
@@ -96,9 +96,10 @@
     burst_tokens: float = 0.0
 
     def fallback_allowance(self, static: Allowance) -> Allowance:
-        """Return what a daemon may use while no lender renews: never more than it was lent.
+        """Return what a daemon may use after the grant has expired without a renewal.
 
-        All daemons together then stay within the limits, whoever else fell back already.
+        The minimum of grant and static slice keeps the sum over all daemons within the limits,
+        also while only some of them have fallen back.
         """
         return Allowance(
             min(self.allowance.requests_per_second, static.requests_per_second),
@@ -109,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _LimitKind:
-    """Read one limit from allowances and demands."""
+    """Accessors for one limit in allowances and demands."""
 
     granted: Callable[[Allowance], float]
     requested: Callable[[BorrowerDemand], float]
@@ -130,7 +131,7 @@
 
 
 class Lender:
-    """Decide one organisation's slices; what is lent never adds up to more than the limits."""
+    """Allocates one organisation's limits; the granted slices never exceed them in total."""
 
     def __init__(self, limits: Allowance, term_seconds: float, started: float) -> None:
         self._limits = limits
@@ -139,36 +140,34 @@
         self._demands_by_daemon: dict[str, tuple[float, BorrowerDemand]] = {}
         self._grants_by_daemon: dict[str, Grant] = {}
         self._in_use_by_daemon: dict[str, int] = {}
-        # What was used before this lender began is not known: nothing unused is lent at first.
+        # Usage before this lender started is unknown, so it starts without unused burst.
         self._unallocated_requests = TokenBucket(limits.requests_per_second, started)
         self._unallocated_requests.empty(started)
         self._unallocated_tokens = TokenBucket(limits.tokens_per_second, started)
         self._unallocated_tokens.empty(started)
 
     def set_limits(self, limits: Allowance) -> None:
-        """Change the limits that are lent from now on."""
+        """Set the limits for future grants."""
         self._limits = limits
 
     def allowances_by_daemon(self, now: float) -> dict[str, Allowance]:
-        """Return what is lent now, by daemon."""
+        """Return the unexpired slices by daemon."""
         self._expire(now)
         return {name: grant.allowance for name, grant in self._grants_by_daemon.items()}
 
-    def lend(
-        self, daemon: str, demand: BorrowerDemand, census: MembershipView, now: float
-    ) -> Grant:
-        """Return the slice of a daemon for one term.
+    def lend(self, daemon: str, demand: BorrowerDemand, view: MembershipView, now: float) -> Grant:
+        """Grant a daemon a slice for one term.
 
-        In its first term a lender does not know what the one before it lent, and grants no more
-        than static slices. While some known daemons are not heard, their part is kept back: they
-        may be on the other side of a partition, with a lender of their own.
+        During its first term a lender grants at most static slices, because grants of the previous
+        lender may still be in force. The share of unreachable daemons is reserved: they may be on
+        the other side of a network partition, with a lender of their own.
         """
         self._expire(now)
         self._update_unallocated(now)
         self._record_demand(daemon, demand, now)
-        slice_ = self._allocate(daemon, census)
+        slice_ = self._allocate(daemon, view)
         if now - self._started_at < self._term_seconds:
-            slice_ = self._first_term_slice(daemon, slice_, census)
+            slice_ = self._first_term_slice(daemon, slice_, view)
         self._grants_by_daemon[daemon] = Grant(slice_, now + self._term_seconds)
         requests, tokens = self._update_unallocated(now)
         grant = Grant(slice_, now + self._term_seconds, requests, tokens)
@@ -176,17 +175,16 @@
         return grant
 
     def return_slice(self, daemon: str) -> None:
-        """Take a slice back from a daemon that uses nothing any more."""
+        """Drop the slice of a daemon that no longer uses it."""
         self._demands_by_daemon.pop(daemon, None)
         self._in_use_by_daemon.pop(daemon, None)
         self._grants_by_daemon.pop(daemon, None)
 
     def _update_unallocated(self, now: float) -> tuple[float, float]:
-        """Let what is not lent fill up; return the unused burst of what was lent since last time.
+        """Refill the unallocated buckets; return the unused burst of newly granted rates.
 
-        A rate that moves takes its burst along, so that all daemons together give no more than the
-        limit and one burst; without it a newcomer refused 114 of 200 callers by a rate of 1000 a
-        second of which nothing was used.
+        The burst moves with the rate, so that a new borrower can use it and all daemons together
+        admit at most the limit plus one burst.
         """
         lent = [grant.allowance for grant in self._grants_by_daemon.values()]
         requests = self._limits.requests_per_second - sum(each.requests_per_second for each in lent)
@@ -201,37 +199,37 @@
         self._in_use_by_daemon[daemon] = demand.in_use(held)
         self._demands_by_daemon[daemon] = (now, demand)
 
-    def _first_term_slice(self, daemon: str, most: Allowance, census: MembershipView) -> Allowance:
-        """Return a static slice, less where the daemon asks for less, and at most ``most``."""
-        static = static_slice(self._limits, daemon, census.known)
+    def _first_term_slice(self, daemon: str, ceiling: Allowance, view: MembershipView) -> Allowance:
+        """Return a static slice, reduced towards lower demand and to at most ``ceiling``."""
+        static = static_slice(self._limits, daemon, view.known)
         _, demand = self._demands_by_daemon[daemon]
         requests = first_term_share(static.requests_per_second, _REQUESTS.requested(demand))
         tokens = first_term_share(static.tokens_per_second, _TOKENS.requested(demand))
-        places = first_term_share(static.concurrency, demand.concurrency)
+        slots = first_term_share(static.concurrency, demand.concurrency)
         return Allowance(
-            min(requests, most.requests_per_second),
-            min(tokens, most.tokens_per_second),
-            min(math.ceil(places), most.concurrency),
+            min(requests, ceiling.requests_per_second),
+            min(tokens, ceiling.tokens_per_second),
+            min(math.ceil(slots), ceiling.concurrency),
         )
 
-    def _allocate(self, daemon: str, census: MembershipView) -> Allowance:
-        unheard = census.unreachable - {daemon}
-        heard_demands = {
+    def _allocate(self, daemon: str, view: MembershipView) -> Allowance:
+        unreachable = view.unreachable - {daemon}
+        live_demands = {
             name: demand
             for name, (_, demand) in self._demands_by_daemon.items()
-            if name not in unheard
+            if name not in unreachable
         }
         others = [name for name in self._grants_by_daemon if name != daemon]
-        unheard_others = [name for name in others if name in unheard]
-        live_fraction = census.live_fraction
+        unreachable_others = [name for name in others if name in unreachable]
+        live_fraction = view.live_fraction
 
-        def state(resource: _LimitKind) -> LimitState:
+        def state(kind: _LimitKind) -> LimitState:
             return LimitState(
-                limit=resource.granted(self._limits),
+                limit=kind.granted(self._limits),
                 live_fraction=live_fraction,
-                demands={name: resource.requested(each) for name, each in heard_demands.items()},
-                held_by_others=sum(self._held(name, resource) for name in others),
-                held_by_unreachable=sum(self._held(name, resource) for name in unheard_others),
+                demands={name: kind.requested(each) for name, each in live_demands.items()},
+                held_by_others=sum(self._held(name, kind) for name in others),
+                held_by_unreachable=sum(self._held(name, kind) for name in unreachable_others),
             )
 
         return Allowance(
@@ -240,10 +238,10 @@
             concurrency_share(daemon, state(_CONCURRENCY)),
         )
 
-    def _held(self, daemon: str, resource: _LimitKind) -> float:
-        """Return what a daemon may use, or uses still where its slice was cut below that."""
-        lent = resource.granted(self._grants_by_daemon[daemon].allowance)
-        return max(lent, self._in_use_by_daemon[daemon]) if resource is _CONCURRENCY else lent
+    def _held(self, daemon: str, kind: _LimitKind) -> float:
+        """Return the amount granted to a daemon, or its slots in use where those exceed it."""
+        granted = kind.granted(self._grants_by_daemon[daemon].allowance)
+        return max(granted, self._in_use_by_daemon[daemon]) if kind is _CONCURRENCY else granted
 
     def _expire(self, now: float) -> None:
         for name, (at, _) in list(self._demands_by_daemon.items()):
