--- a/src/brassdrum/admission/shares.py
+++ b/src/brassdrum/admission/shares.py
@@ -1,4 +1,4 @@
-"""Share one limit between the daemons that ask for parts of it; pure, all amounts are arguments."""
+"""Share one limit between the daemons that request parts of it; pure functions."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
     "water_fill",
 ]
 
-# Part of a limit that daemons which are known do not get, so that one that comes new finds some.
+# Reserved for daemons that join between renewals.
 _NEWCOMER_RESERVE_FRACTION = 0.03
-# Of what nobody asks for this part is lent too, evenly, for callers that come before the next
-# renewal; the rest waits at the lender, which a daemon asks before it refuses. Lent by need, half
-# of it, a newcomer got 2 of 1000 places beside three daemons that ran 200 each, 400 free.
+# Surplus granted evenly for demand that arises before the next renewal. The rest stays with the
+# lender for new daemons; a daemon asks the lender before it refuses a request.
 _SURPLUS_SHARED_FRACTION = 0.25
-# A daemon may take this part of what is free even if less than the newcomers' part is left: the
-# next one then finds some too, where all of it would leave nothing for up to a term.
+# A daemon may get this fraction of the free amount even out of the reserve; the remainder stays
+# available for the next new daemon.
 _MAX_FRACTION_OF_FREE = 0.5
-# What a daemon asks for beyond the places that its callers want: room for the next one.
+# Requested beyond current demand, so that the next request finds a free slot.
 CONCURRENCY_HEADROOM = 1.0
 _EPSILON = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
 class LimitState:
-    """Hold what a lender knows of one limit when a daemon asks for its part.
+    """A lender's state of one limit when a daemon requests a share.
 
-    ``asked`` is what daemons that are heard ask for, by name. ``held_by_others`` is what all but
-    the asking daemon may still use, ``held_unheard`` the part of it at daemons that are not heard.
-    ``heard`` is the part of the known daemons that is heard, above 0 and at most 1.
+    ``live_fraction`` is the fraction of the known daemons that is live, greater than 0 and at most
+    1. ``demands`` holds the demands of live daemons by name. ``held_by_others`` is the amount that
+    all daemons but the requesting one may still use; ``held_by_unreachable`` is the part of it at
+    unreachable daemons.
     """
 
     limit: float
@@ -47,69 +47,73 @@
 
     @property
     def free(self) -> float:
-        """Return what may be lent without exceeding the limit, whatever the others still use.
+        """Amount that can be granted without exceeding the limit.
 
-        Daemons that are not heard may have a lender of their own, so their part is kept back. What
-        they hold of this lender is in that part: counted besides, it cut the survivor of three
-        daemons that were killed at once to nothing for a term.
+        The share of unreachable daemons is reserved, because they may have a lender of their own.
+        Grants that they hold from this lender are part of that reserve and not counted twice.
         """
-        kept_for_unheard = max(self.limit * (1.0 - self.live_fraction), self.held_by_unreachable)
-        held_by_heard = self.held_by_others - self.held_by_unreachable
-        return max(0.0, self.limit - kept_for_unheard - held_by_heard)
+        reserved_for_unreachable = max(
+            self.limit * (1.0 - self.live_fraction), self.held_by_unreachable
+        )
+        held_by_live = self.held_by_others - self.held_by_unreachable
+        return max(0.0, self.limit - reserved_for_unreachable - held_by_live)
 
 
 def water_fill(limit: float, demands: Mapping[str, float]) -> dict[str, float]:
-    """Share a limit: small demands are met, larger ones get equal parts of what is left.
+    """Share a limit by max-min fairness: meet small demands and split the rest equally.
 
-    A part of what nobody asks for is shared evenly; the rest waits for who comes.
+    Part of any surplus is added in equal shares; the rest remains unallocated.
     """
     shares: dict[str, float] = {}
-    left = limit
+    remaining = limit
     ordered = sorted(demands.items(), key=lambda item: (item[1], item[0]))
     for position, (name, demand) in enumerate(ordered):
-        share = min(demand, left / (len(ordered) - position))
+        share = min(demand, remaining / (len(ordered) - position))
         shares[name] = share
-        left -= share
+        remaining -= share
     if demands:
-        more = left * _SURPLUS_SHARED_FRACTION / len(demands)
-        shares = {name: share + more for name, share in shares.items()}
+        surplus_share = remaining * _SURPLUS_SHARED_FRACTION / len(demands)
+        shares = {name: share + surplus_share for name, share in shares.items()}
     return shares
 
 
 def rate_share(daemon: str, state: LimitState) -> float:
-    """Return a daemon's part of a rate."""
-    heard_limit = state.limit * state.live_fraction
-    kept_back = heard_limit * _NEWCOMER_RESERVE_FRACTION
-    fair = water_fill(heard_limit - kept_back, state.demands)[daemon]
-    return min(fair, max(state.free - kept_back, state.free * _MAX_FRACTION_OF_FREE))
+    """Return a daemon's share of a rate limit."""
+    live_limit = state.limit * state.live_fraction
+    reserved = live_limit * _NEWCOMER_RESERVE_FRACTION
+    fair_share = water_fill(live_limit - reserved, state.demands)[daemon]
+    return min(fair_share, max(state.free - reserved, state.free * _MAX_FRACTION_OF_FREE))
 
 
 def concurrency_share(daemon: str, state: LimitState) -> int:
-    """Return a daemon's part of a number of places; one that asks gets one while any is free."""
-    heard_limit = math.floor(state.limit * state.live_fraction + _EPSILON)
-    kept_back = reserved_slots(heard_limit)
-    fair = math.floor(water_fill(heard_limit - kept_back, state.demands)[daemon] + _EPSILON)
+    """Return a daemon's share of a concurrency limit.
+
+    With demand, a daemon gets at least one slot while any is free.
+    """
+    live_limit = math.floor(state.limit * state.live_fraction + _EPSILON)
+    reserved = reserved_slots(live_limit)
+    fair_share = math.floor(water_fill(live_limit - reserved, state.demands)[daemon] + _EPSILON)
     free = math.floor(state.free + _EPSILON)
-    most = max(free - kept_back, math.ceil(free * _MAX_FRACTION_OF_FREE))
-    # Parts below one place would leave all places unused: the first that asks get one each.
-    return min(max(fair, _min_slots(state.demands[daemon])), most)
+    ceiling = max(free - reserved, math.ceil(free * _MAX_FRACTION_OF_FREE))
+    # Fair shares below one slot would round to 0 and leave the limit unused.
+    return min(max(fair_share, _min_slots(state.demands[daemon])), ceiling)
 
 
 def reserved_slots(limit: int) -> int:
-    """Return how many places wait for newcomers; at least one of two and more."""
+    """Return the slots reserved for new daemons: at least one if the limit is 2 or more."""
     if limit < 2:
         return 0
     return max(1, math.floor(limit * _NEWCOMER_RESERVE_FRACTION))
 
 
-def first_term_share(static: float, asked: float) -> float:
-    """Return a daemon's part in a lender's first term: static, or less if it asks for less.
+def first_term_share(static: float, demand: float) -> float:
+    """Return a daemon's share during a lender's first term.
 
-    Half of what it does not ask for waits: static parts of all would take up the whole limit, and
-    a daemon that came within a term after them got nothing.
+    Half of the static share that a daemon does not request stays unallocated: static shares for
+    all would use up the limit and leave nothing for a daemon that joins within a term.
     """
-    return static if asked >= static else (static + asked) / 2.0
+    return static if demand >= static else (static + demand) / 2.0
 
 
-def _min_slots(asked: float) -> int:
-    return 1 if asked > CONCURRENCY_HEADROOM else 0
+def _min_slots(demand: float) -> int:
+    return 1 if demand > CONCURRENCY_HEADROOM else 0
