--- a/src/brassdrum/admission/limits.py
+++ b/src/brassdrum/admission/limits.py
@@ -1,4 +1,4 @@
-"""Hold one organisation's use on one daemon to its slice of the contract's limits."""
+"""Enforce one organisation's slice of the contract's limits on one daemon."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 
 _BURST_SECONDS = 1.0
 _DEMAND_HALF_LIFE_SECONDS = 1.0
-# Nobody knows when a place comes free; slices follow their callers within about a second.
+# Slices follow demand within about a second; the end of a request cannot be predicted.
 _CONCURRENCY_RETRY_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Allowance:
-    """Give rates per second and concurrency that may be used."""
+    """Permitted rates per second and concurrency."""
 
     requests_per_second: float
     tokens_per_second: float
     concurrency: int
 
-    def scaled(self, part: float) -> Allowance:
-        """Return a part of the allowance; concurrency is rounded down."""
+    def scaled(self, fraction: float) -> Allowance:
+        """Return a fraction of the allowance, with concurrency rounded down."""
         return Allowance(
-            self.requests_per_second * part,
-            self.tokens_per_second * part,
-            math.floor(self.concurrency * part + 1e-9),
+            self.requests_per_second * fraction,
+            self.tokens_per_second * fraction,
+            math.floor(self.concurrency * fraction + 1e-9),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Tell which limit refused and when to come back, in seconds."""
+    """The limit that was exceeded and the delay in seconds before a retry."""
 
     limit: str
     retry_after: float
 
 
 class TokenBucket:
-    """Fill at a rate; may be overdrawn by one taking, which later takings wait for."""
+    """Token bucket that one withdrawal may overdraw; later ones wait until it has refilled."""
 
     def __init__(self, rate: float, now: float) -> None:
         self._rate = rate
@@ -47,20 +47,20 @@
         self._updated_at = now
 
     def set_rate(self, rate: float, now: float) -> float:
-        """Change the rate and return what no longer fits; what has been overdrawn stays."""
+        """Change the rate and return the excess over the new capacity; a deficit remains."""
         self._refill(now)
         self._rate = rate
-        over = max(0.0, self._level - self._capacity())
-        self._level -= over
-        return over
+        excess = max(0.0, self._level - self._capacity())
+        self._level -= excess
+        return excess
 
     def empty(self, now: float) -> None:
-        """Take all that is left."""
+        """Discard the remaining tokens."""
         self._refill(now)
         self._level = min(self._level, 0.0)
 
     def wait_seconds(self, now: float, amount: float = 0.0) -> float:
-        """Return the seconds until something may be taken, 0 for now."""
+        """Return the seconds until a withdrawal is permitted; 0 if it is now."""
         self._refill(now)
         missing = min(amount, self._capacity()) - self._level
         if missing <= 0 and self._level > 0:
@@ -70,7 +70,7 @@
         return max(missing, -self._level + 1e-9) / self._rate
 
     def take(self, amount: float, now: float) -> None:
-        """Take an amount; a negative one gives back."""
+        """Withdraw an amount; a negative one is a deposit."""
         self._refill(now)
         self._level = min(self._level - amount, self._capacity())
 
@@ -84,34 +84,34 @@
 
 
 class DemandMeter:
-    """Measure what callers ask for, refused or not, with older demand fading."""
+    """Exponentially decaying rates of requested work, refused requests included."""
 
-    def __init__(self, now: float, half_life: float = _DEMAND_HALF_LIFE_SECONDS) -> None:
-        self._half_life = half_life
+    def __init__(self, now: float, half_life_seconds: float = _DEMAND_HALF_LIFE_SECONDS) -> None:
+        self._half_life_seconds = half_life_seconds
         self._updated_at = now
         self._requests = 0.0
         self._tokens = 0.0
 
     def add(self, tokens: float, now: float) -> None:
-        """Count one request."""
+        """Record one request."""
         self._decay(now)
-        self._requests += math.log(2) / self._half_life
-        self._tokens += tokens * math.log(2) / self._half_life
+        self._requests += math.log(2) / self._half_life_seconds
+        self._tokens += tokens * math.log(2) / self._half_life_seconds
 
     def rates(self, now: float) -> tuple[float, float]:
-        """Return requests and tokens per second."""
+        """Return the rates as requests and tokens per second."""
         self._decay(now)
         return self._requests, self._tokens
 
     def _decay(self, now: float) -> None:
-        factor = 0.5 ** (max(0.0, now - self._updated_at) / self._half_life)
+        factor = 0.5 ** (max(0.0, now - self._updated_at) / self._half_life_seconds)
         self._updated_at = now
         self._requests *= factor
         self._tokens *= factor
 
 
 class LocalLimiter:
-    """Admit or refuse one organisation's requests on this daemon."""
+    """Limits one organisation's requests on this daemon."""
 
     def __init__(self, allowance: Allowance, now: float) -> None:
         self._allowance = allowance
@@ -124,11 +124,11 @@
 
     @property
     def allowance(self) -> Allowance:
-        """Return the slice in force."""
+        """The slice in force."""
         return self._allowance
 
     def set_allowance(self, allowance: Allowance, now: float) -> None:
-        """Change the slice."""
+        """Replace the slice in force."""
         if allowance == self._allowance:
             return
         self._allowance = allowance
@@ -136,17 +136,17 @@
         self._tokens.set_rate(allowance.tokens_per_second, now)
 
     def add_burst(self, requests: float, tokens: float, now: float) -> None:
-        """Take over the unused burst of a part of the limits that came to this daemon."""
+        """Add unused burst that was transferred with a granted rate."""
         self._requests.take(-requests, now)
         self._tokens.take(-tokens, now)
 
     def acquire(self, tokens: int, now: float) -> Refusal | None:
-        """Take room for a request, or return why there is none."""
+        """Admit a request, or return the limit that refuses it."""
         self.demand.add(tokens, now)
         return self.retry_acquire(tokens, now)
 
     def retry_acquire(self, tokens: int, now: float) -> Refusal | None:
-        """Try once more for a request that is counted as demand already."""
+        """Retry a request without counting it as demand again."""
         refusal = self.refusal(now)
         if refusal is not None:
             if refusal.limit == "concurrency":
@@ -159,7 +159,7 @@
         return None
 
     def refusal(self, now: float) -> Refusal | None:
-        """Return why there is no room for a request now, or None."""
+        """Return the limit that would refuse a request now, or None."""
         if self.in_flight >= self._allowance.concurrency:
             return Refusal("concurrency", _CONCURRENCY_RETRY_SECONDS)
         wait = self._requests.wait_seconds(now, 1.0)
@@ -169,17 +169,16 @@
         return Refusal("tokens_per_second", wait) if wait > 0 else None
 
     def release(self, estimated_tokens: int, actual_tokens: int, now: float) -> None:
-        """Give the request's place back and correct its tokens by what it really used."""
+        """Release a request's slot and replace its estimated tokens by the actual number."""
         self.in_flight = max(0, self.in_flight - 1)
         self._tokens.take(actual_tokens - estimated_tokens, now)
 
     def pop_concurrency_demand(self) -> int:
-        """Return how many requests would have run at once, since last asked, if nothing held them.
+        """Return the peak concurrency demanded since the last call, and reset it.
 
-        The most that ran counts, not what runs now: a daemon that asked between two requests was
-        lent 8 places of 30 where the two others, as busy, got 9 and 11.
+        Uses the peak, because the number in flight may be low at the moment of a renewal.
         """
-        wanted = self.peak_in_flight + min(self.concurrency_refusals, self.peak_in_flight + 1)
+        demand = self.peak_in_flight + min(self.concurrency_refusals, self.peak_in_flight + 1)
         self.concurrency_refusals = 0
         self.peak_in_flight = self.in_flight
-        return wanted
+        return demand
