--- a/src/brassdrum/admission/queue.py
+++ b/src/brassdrum/admission/queue.py
@@ -12,7 +12,7 @@
 __all__ = ["Account", "FairQueue"]
 
 _URGENCY_WEIGHT = {Urgency.INTERACTIVE: 4.0, Urgency.STANDARD: 2.0, Urgency.BULK: 1.0}
-_AGED_SHARE = 0.5
+_AGING_FRACTION = 0.5
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _QueuedWork:
     work: Work
     used_before: dict[str, float]
 
@@ -52,22 +52,22 @@
         self._capacity = capacity
         self._count = itertools.count()
         self._flows: dict[_FlowKey, list[tuple[float, int, str]]] = {}
-        self._waiting_by_id: dict[str, _Waiting] = {}
-        self._queued_by_organisation: dict[str, int] = {}
+        self._queued_by_id: dict[str, _QueuedWork] = {}
+        self._queued_count_by_organisation: dict[str, int] = {}
         self.accounts_by_organisation: dict[str, Account] = {}
 
     def __len__(self) -> int:
-        return len(self._waiting_by_id)
+        return len(self._queued_by_id)
 
     def queued(self, organisation: str) -> int:
         """Return how many requests of an organisation wait."""
-        return self._queued_by_organisation.get(organisation, 0)
+        return self._queued_count_by_organisation.get(organisation, 0)
 
     def account(self, organisation: str) -> Account:
         """Return an organisation's account, made at its first use."""
         account = self.accounts_by_organisation.get(organisation)
         if account is None:
-            account = Account(organisation, virtual_time=self._floor())
+            account = Account(organisation, virtual_time=self._start_virtual_time())
             self.accounts_by_organisation[organisation] = account
         return account
 
@@ -75,7 +75,7 @@
         """Add work; when full, return what is shed instead, which may be the new work."""
         shed = None
         if len(self) >= self._capacity:
-            shed = self._least_urgent(work)
+            shed = self._select_victim(work)
             self.account(shed.organisation).refused += 1
             if shed is work:
                 return shed
@@ -83,10 +83,10 @@
         account = self.account(work.organisation)
         if self.queued(work.organisation) == 0:
             # An idle organisation keeps no credit: it competes from now on.
-            account.virtual_time = max(account.virtual_time, self._floor())
+            account.virtual_time = max(account.virtual_time, self._start_virtual_time())
         used = {name: item.used_cost for name, item in self.accounts_by_organisation.items()}
-        self._waiting_by_id[work.id] = _Waiting(work, used)
-        self._queued_by_organisation[work.organisation] = self.queued(work.organisation) + 1
+        self._queued_by_id[work.id] = _QueuedWork(work, used)
+        self._queued_count_by_organisation[work.organisation] = self.queued(work.organisation) + 1
         flow = self._flows.setdefault(_FlowKey(work.organisation, work.target, work.band), [])
         heapq.heappush(flow, (work.start_by, next(self._count), work.id))
         return shed
@@ -98,28 +98,30 @@
             work = self._head(key)
             if work is not None:
                 heads.append(work)
-        heads.sort(key=lambda work: self._rank(work, now))
+        heads.sort(key=lambda work: self._dispatch_order(work, now))
         return heads
 
     def remove(self, work_id: str) -> Work | None:
         """Take work out without charging it."""
-        waiting = self._waiting_by_id.pop(work_id, None)
+        waiting = self._queued_by_id.pop(work_id, None)
         if waiting is None:
             return None
         organisation = waiting.work.organisation
-        self._queued_by_organisation[organisation] -= 1
-        if self._queued_by_organisation[organisation] == 0:
-            del self._queued_by_organisation[organisation]
+        self._queued_count_by_organisation[organisation] -= 1
+        if self._queued_count_by_organisation[organisation] == 0:
+            del self._queued_count_by_organisation[organisation]
         return waiting.work
 
     def dispatch(self, work_id: str, now: float) -> None:
         """Take work out because it goes to an endpoint, and charge its organisation."""
-        waiting = self._waiting_by_id.get(work_id)
+        waiting = self._queued_by_id.get(work_id)
         if waiting is None:
             return
         self.remove(work_id)
         work = waiting.work
-        self._blame(self.account(work.organisation), waiting, max(0.0, now - work.arrived))
+        self._attribute_delay(
+            self.account(work.organisation), waiting, max(0.0, now - work.arrived)
+        )
         self.charge(work, now)
 
     def charge(self, work: Work, now: float) -> None:
@@ -130,35 +132,35 @@
         account.used_cost += work.cost
         account.virtual_time += work.cost / (work.share * _URGENCY_WEIGHT[work.urgency])
 
-    def correct(self, organisation: str, work: Work, real_cost: float) -> None:
+    def correct_cost(self, organisation: str, work: Work, actual_cost: float) -> None:
         """Replace the estimated cost of dispatched work by what it really took."""
         account = self.account(organisation)
-        difference = real_cost - work.cost
+        difference = actual_cost - work.cost
         account.used_cost += difference
         account.virtual_time += difference / (work.share * _URGENCY_WEIGHT[work.urgency])
 
     def _head(self, key: _FlowKey) -> Work | None:
         flow = self._flows[key]
         while flow:
-            waiting = self._waiting_by_id.get(flow[0][2])
+            waiting = self._queued_by_id.get(flow[0][2])
             if waiting is not None:
                 return waiting.work
             heapq.heappop(flow)
         del self._flows[key]
         return None
 
-    def _rank(self, work: Work, now: float) -> tuple[int, float, float]:
+    def _dispatch_order(self, work: Work, now: float) -> tuple[int, float, float]:
         waited = now - work.arrived
         allowed = max(1e-9, work.start_by - work.arrived)
-        aged = 0 if waited > _AGED_SHARE * allowed else 1
+        aged = 0 if waited > _AGING_FRACTION * allowed else 1
         if aged == 0:
             return (0, work.start_by, 0.0)
         return (1, self.account(work.organisation).virtual_time, work.start_by)
 
-    def _floor(self) -> float:
+    def _start_virtual_time(self) -> float:
         times = [
             self.accounts_by_organisation[name].virtual_time
-            for name in self._queued_by_organisation
+            for name in self._queued_count_by_organisation
             if name in self.accounts_by_organisation
         ]
         if times:
@@ -168,8 +170,8 @@
             default=0.0,
         )
 
-    def _least_urgent(self, new: Work) -> Work:
-        candidates = [item.work for item in self._waiting_by_id.values()]
+    def _select_victim(self, new: Work) -> Work:
+        candidates = [item.work for item in self._queued_by_id.values()]
         candidates.append(new)
         return max(
             candidates,
@@ -181,7 +183,7 @@
             ),
         )
 
-    def _blame(self, account: Account, waiting: _Waiting, wait: float) -> None:
+    def _attribute_delay(self, account: Account, waiting: _QueuedWork, wait: float) -> None:
         used_by_other = {}
         for name, other in self.accounts_by_organisation.items():
             used = other.used_cost - waiting.used_before.get(name, 0.0)
--- a/src/brassdrum/admission/work.py
+++ b/src/brassdrum/admission/work.py
@@ -7,11 +7,11 @@
 
 from brassdrum.contracts.documents import Urgency
 
-__all__ = ["LengthBand", "Work", "band_of", "is_service", "service_target"]
+__all__ = ["LengthBand", "Work", "is_service_target", "length_band", "service_target"]
 
-_SHORT_TOKENS = 4_000
-_LONG_TOKENS = 100_000
-_DECODE_WEIGHT = 4
+_MEDIUM_MIN_TOKENS = 4_000
+_MEDIUM_MAX_TOKENS = 100_000
+_DECODE_TOKEN_COST = 4
 _SERVICE_PREFIX = "service:"
 
 
@@ -23,11 +23,11 @@
     LONG = "long"
 
 
-def band_of(tokens: int) -> LengthBand:
+def length_band(tokens: int) -> LengthBand:
     """Return the band of a prompt length in tokens."""
-    if tokens < _SHORT_TOKENS:
+    if tokens < _MEDIUM_MIN_TOKENS:
         return LengthBand.SHORT
-    if tokens <= _LONG_TOKENS:
+    if tokens <= _MEDIUM_MAX_TOKENS:
         return LengthBand.MEDIUM
     return LengthBand.LONG
 
@@ -37,7 +37,7 @@
     return f"{_SERVICE_PREFIX}{service}"
 
 
-def is_service(target: str) -> bool:
+def is_service_target(target: str) -> bool:
     """Return whether a target names a plain service."""
     return target.startswith(_SERVICE_PREFIX)
 
@@ -57,17 +57,17 @@
     start_by: float
     deadline: float
     blocks: tuple[int, ...] = ()
-    avoid: frozenset[str] = frozenset()
+    excluded_endpoints: frozenset[str] = frozenset()
 
     @property
     def band(self) -> LengthBand:
         """Return the length band."""
-        return band_of(self.prompt_tokens)
+        return length_band(self.prompt_tokens)
 
     @property
     def cost(self) -> int:
         """Return the work in prefill-token units; a decoded token weighs several prefilled."""
-        return self.prompt_tokens + _DECODE_WEIGHT * self.answer_tokens
+        return self.prompt_tokens + _DECODE_TOKEN_COST * self.answer_tokens
 
     @property
     def kv_tokens(self) -> int:
--- a/src/brassdrum/daemon/attempts.py
+++ b/src/brassdrum/daemon/attempts.py
@@ -91,10 +91,10 @@
             states = self._core.dispatcher.fleet.states_by_target.get(work.target, [])
             usable = [each for each in states if each.usable(now)]
             busy = {each.endpoint.name for each in usable if each.streams(now)}
-        names = {each.endpoint.name for each in usable} - work.avoid
+        names = {each.endpoint.name for each in usable} - work.excluded_endpoints
         if not names - busy:
             return work
-        return replace(work, avoid=work.avoid | busy)
+        return replace(work, excluded_endpoints=work.excluded_endpoints | busy)
 
     def _note_ran(self, error: BrassdrumError) -> None:
         """Let an error tell of all attempts: a later one that did not run hides no earlier one."""
@@ -151,8 +151,8 @@
             raise error
         observe(self._core.metrics.retries.add, 1, {"reason": error.code})
         self._core.clock.sleep(decision.delay_seconds)
-        avoid = work.avoid | {placement.state.endpoint.name}
+        avoid = work.excluded_endpoints | {placement.state.endpoint.name}
         candidates = self._core.dispatcher.fleet.states_by_target.get(work.target, [])
         if all(state.endpoint.name in avoid for state in candidates):
             avoid = frozenset()
-        return replace(work, id=f"{scope.request_id}.{self._attempt + 1}", avoid=avoid)
+        return replace(work, id=f"{scope.request_id}.{self._attempt + 1}", excluded_endpoints=avoid)
--- a/src/brassdrum/daemon/dispatcher.py
+++ b/src/brassdrum/daemon/dispatcher.py
@@ -92,7 +92,7 @@
         with self.lock:
             placement.state.own_by_id.pop(placement.work.id, None)
             if real_cost is not None:
-                self.queue.correct(placement.work.organisation, placement.work, real_cost)
+                self.queue.correct_cost(placement.work.organisation, placement.work, real_cost)
             self._pump()
 
     def pump(self) -> None:
--- a/src/brassdrum/daemon/explain.py
+++ b/src/brassdrum/daemon/explain.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from brassdrum.admission.work import Work, band_of, is_service
+from brassdrum.admission.work import Work, is_service_target, length_band
 from brassdrum.contracts.documents import Contract
 from brassdrum.contracts.view import FleetView
 from brassdrum.daemon.core import Core
@@ -47,7 +47,7 @@
 
 
 def _refusal(core: Core, view: FleetView, contract: Contract, asked: DescribedRequest) -> str:
-    if is_service(asked.target):
+    if is_service_target(asked.target):
         return ""
     if asked.target not in contract.models:
         return f"unknown_model: the contract covers {', '.join(contract.models) or 'no models'}"
@@ -100,7 +100,7 @@
         deadline=now + contract.longest_wait_seconds + contract.longest_run_seconds,
     )
     chosen = fleet.choose(work)
-    band = band_of(asked.prompt_tokens).value
+    band = length_band(asked.prompt_tokens).value
     if chosen is None:
         return f"{band}: would wait; {len(usable)} of {len(states)} endpoints are usable, all full"
     return f"{band}: to {chosen.endpoint.name}; {len(usable)} of {len(states)} are usable"
--- a/src/brassdrum/daemon/fleet.py
+++ b/src/brassdrum/daemon/fleet.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 
 from brassdrum.admission.limits import DemandMeter
-from brassdrum.admission.work import LengthBand, Work, is_service, service_target
+from brassdrum.admission.work import LengthBand, Work, is_service_target, service_target
 from brassdrum.clock import Clock
 from brassdrum.contracts.documents import Configuration, Endpoint, EndpointKind
 from brassdrum.contracts.documents import Policy as PolicySettings
@@ -160,7 +160,7 @@
         policy = self._policies_by_target.get(target)
         if policy is None:
             name = self._policy_override or self._settings.name
-            if is_service(target):
+            if is_service_target(target):
                 name = _SERVICE_POLICY
             policy = self._policies_by_target[target] = POLICIES.get(name)()
         return policy
--- a/src/brassdrum/routing/policies.py
+++ b/src/brassdrum/routing/policies.py
@@ -55,7 +55,7 @@
 
 def _room(state: EndpointState, work: Work, now: float) -> EndpointLoad | None:
     """Return the load of an endpoint that has room for work, else None."""
-    if not state.usable(now) or state.endpoint.name in work.avoid:
+    if not state.usable(now) or state.endpoint.name in work.excluded_endpoints:
         return None
     load = state.load(now)
     if load.streams >= max(1.0, state.endpoint.max_streams * state.weight(now)):
