--- a/src/brassdrum/admission/queue.py
+++ b/src/brassdrum/admission/queue.py
@@ -1,4 +1,4 @@
-"""Order waiting work fairly between organisations, earliest deadline first within each."""
+"""Weighted fair queueing between organisations, earliest start deadline first within each."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Account:
-    """Tell what one organisation used, waited for and was refused, and who delayed it."""
+    """Usage, waiting time and refusals of one organisation, and the causes of its delays."""
 
     organisation: str
     used_cost: float = 0.0
@@ -42,10 +42,10 @@
 
 
 class FairQueue:
-    """Keep waiting work in flows; the heads of all flows compete by weighted fair shares.
+    """Queues work in flows, whose heads compete by weighted fair shares.
 
-    A flow is one organisation's work of one length band for one target, so that a long request
-    that finds no room never holds up short ones behind it.
+    A flow is one organisation's work of one length band for one target. A long request that does
+    not fit any endpoint thus never blocks short ones behind it.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -60,11 +60,11 @@
         return len(self._queued_by_id)
 
     def queued(self, organisation: str) -> int:
-        """Return how many requests of an organisation wait."""
+        """Return the number of queued requests of an organisation."""
         return self._queued_count_by_organisation.get(organisation, 0)
 
     def account(self, organisation: str) -> Account:
-        """Return an organisation's account, made at its first use."""
+        """Return an organisation's account, creating it on first use."""
         account = self.accounts_by_organisation.get(organisation)
         if account is None:
             account = Account(organisation, virtual_time=self._start_virtual_time())
@@ -72,7 +72,7 @@
         return account
 
     def push(self, work: Work) -> Work | None:
-        """Add work; when full, return what is shed instead, which may be the new work."""
+        """Add work; if the queue is full, return the work shed, possibly the new one."""
         shed = None
         if len(self) >= self._capacity:
             shed = self._select_victim(work)
@@ -82,7 +82,7 @@
             self.remove(shed.id)
         account = self.account(work.organisation)
         if self.queued(work.organisation) == 0:
-            # An idle organisation keeps no credit: it competes from now on.
+            # An idle organisation accumulates no credit.
             account.virtual_time = max(account.virtual_time, self._start_virtual_time())
         used = {name: item.used_cost for name, item in self.accounts_by_organisation.items()}
         self._queued_by_id[work.id] = _QueuedWork(work, used)
@@ -92,7 +92,7 @@
         return shed
 
     def heads(self, now: float) -> list[Work]:
-        """Return the first work of every flow, in the order in which it deserves room."""
+        """Return the head of every flow in dispatch order."""
         heads = []
         for key in list(self._flows):
             work = self._head(key)
@@ -102,30 +102,28 @@
         return heads
 
     def remove(self, work_id: str) -> Work | None:
-        """Take work out without charging it."""
-        waiting = self._queued_by_id.pop(work_id, None)
-        if waiting is None:
+        """Remove work without charging it."""
+        entry = self._queued_by_id.pop(work_id, None)
+        if entry is None:
             return None
-        organisation = waiting.work.organisation
+        organisation = entry.work.organisation
         self._queued_count_by_organisation[organisation] -= 1
         if self._queued_count_by_organisation[organisation] == 0:
             del self._queued_count_by_organisation[organisation]
-        return waiting.work
+        return entry.work
 
     def dispatch(self, work_id: str, now: float) -> None:
-        """Take work out because it goes to an endpoint, and charge its organisation."""
-        waiting = self._queued_by_id.get(work_id)
-        if waiting is None:
+        """Remove work that is sent to an endpoint, and charge its organisation."""
+        entry = self._queued_by_id.get(work_id)
+        if entry is None:
             return
         self.remove(work_id)
-        work = waiting.work
-        self._attribute_delay(
-            self.account(work.organisation), waiting, max(0.0, now - work.arrived)
-        )
+        work = entry.work
+        self._attribute_delay(self.account(work.organisation), entry, max(0.0, now - work.arrived))
         self.charge(work, now)
 
     def charge(self, work: Work, now: float) -> None:
-        """Charge an organisation for work that goes to an endpoint, queued here or not."""
+        """Charge an organisation for work sent to an endpoint, whether it was queued or not."""
         account = self.account(work.organisation)
         account.waited_seconds += max(0.0, now - work.arrived)
         account.dispatched += 1
@@ -133,7 +131,7 @@
         account.virtual_time += work.cost / (work.share * _URGENCY_WEIGHT[work.urgency])
 
     def correct_cost(self, organisation: str, work: Work, actual_cost: float) -> None:
-        """Replace the estimated cost of dispatched work by what it really took."""
+        """Replace the estimated cost of dispatched work by the actual cost."""
         account = self.account(organisation)
         difference = actual_cost - work.cost
         account.used_cost += difference
@@ -142,9 +140,9 @@
     def _head(self, key: _FlowKey) -> Work | None:
         flow = self._flows[key]
         while flow:
-            waiting = self._queued_by_id.get(flow[0][2])
-            if waiting is not None:
-                return waiting.work
+            entry = self._queued_by_id.get(flow[0][2])
+            if entry is not None:
+                return entry.work
             heapq.heappop(flow)
         del self._flows[key]
         return None
@@ -183,10 +181,10 @@
             ),
         )
 
-    def _attribute_delay(self, account: Account, waiting: _QueuedWork, wait: float) -> None:
+    def _attribute_delay(self, account: Account, entry: _QueuedWork, wait: float) -> None:
         used_by_other = {}
         for name, other in self.accounts_by_organisation.items():
-            used = other.used_cost - waiting.used_before.get(name, 0.0)
+            used = other.used_cost - entry.used_before.get(name, 0.0)
             if used > 0:
                 used_by_other[name] = used
         total = sum(used_by_other.values())
