--- a/src/brassdrum/admission/work.py
+++ b/src/brassdrum/admission/work.py
@@ -1,4 +1,4 @@
-"""Describe one admitted request to the decisions that queue and route it."""
+"""The properties of an admitted request that queueing and routing use."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LengthBand(StrEnum):
-    """Sort requests by prompt length; bands never wait behind each other."""
+    """Size class of a prompt; requests of different bands do not block each other."""
 
     SHORT = "short"
     MEDIUM = "medium"
@@ -24,7 +24,7 @@
 
 
 def length_band(tokens: int) -> LengthBand:
-    """Return the band of a prompt length in tokens."""
+    """Return the band of a prompt with the given number of tokens."""
     if tokens < _MEDIUM_MIN_TOKENS:
         return LengthBand.SHORT
     if tokens <= _MEDIUM_MAX_TOKENS:
@@ -33,18 +33,18 @@
 
 
 def service_target(service: str) -> str:
-    """Return the target name under which a plain service's work is queued."""
+    """Return the queueing target of a plain service."""
     return f"{_SERVICE_PREFIX}{service}"
 
 
 def is_service_target(target: str) -> bool:
-    """Return whether a target names a plain service."""
+    """Return whether a target is a plain service."""
     return target.startswith(_SERVICE_PREFIX)
 
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """Hold what the decisions need to know; times are monotonic seconds."""
+    """An admitted request; times are in seconds of the monotonic clock."""
 
     id: str
     organisation: str
@@ -61,15 +61,15 @@
 
     @property
     def band(self) -> LengthBand:
-        """Return the length band."""
+        """Length band of the prompt."""
         return length_band(self.prompt_tokens)
 
     @property
     def cost(self) -> int:
-        """Return the work in prefill-token units; a decoded token weighs several prefilled."""
+        """Cost in prefill tokens; a decoded token costs several of them."""
         return self.prompt_tokens + _DECODE_TOKEN_COST * self.answer_tokens
 
     @property
     def kv_tokens(self) -> int:
-        """Return the most memory that the request takes at an engine."""
+        """Maximum KV cache usage at an engine, in tokens."""
         return self.prompt_tokens + self.answer_tokens
