--- a/features/steps/limit_book_steps.py
+++ b/features/steps/limit_book_steps.py
@@ -6,7 +6,7 @@
 
 from brassdrum.admission.lending import MembershipView
 from brassdrum.clock import ManualClock
-from brassdrum.daemon.limits import LimitBook
+from brassdrum.daemon.limits import DistributedLimiter
 from brassdrum.errors import LimitExceededError
 from brassdrum.standins.site import sample_contract
 from brassdrum.telemetry.control_cost import ControlCost
@@ -51,7 +51,7 @@
         _, contract = sample_contract(ORGANISATION, concurrency=concurrency)
         self.by_name = {}
         for name in self.names:
-            book = LimitBook(
+            book = DistributedLimiter(
                 name,
                 self.clock,
                 self,
@@ -83,7 +83,7 @@
     def renew(self):
         """Let each daemon ask for its next term."""
         for book in self.by_name.values():
-            book.borrow()
+            book.renew_slices()
 
 
 @given("{count:d} daemons share a limit of {places:d} concurrent requests")
--- a/src/brassdrum/daemon/core.py
+++ b/src/brassdrum/daemon/core.py
@@ -16,7 +16,7 @@
 from brassdrum.daemon.dispatcher import Dispatcher
 from brassdrum.daemon.explanations import Explanations
 from brassdrum.daemon.groups import Groups
-from brassdrum.daemon.limits import LimitBook
+from brassdrum.daemon.limits import DistributedLimiter
 from brassdrum.daemon.relay import Relay
 from brassdrum.daemon.watch import Watch
 from brassdrum.errors import InvalidRequestError, NotReadyError, UnknownKeyError
@@ -91,7 +91,7 @@
     clock: Clock
     control: ControlState
     dispatcher: Dispatcher
-    limits: LimitBook
+    limits: DistributedLimiter
     claims: ShardedClaims
     resume_tokens: ResumeTokens
     watch: Watch
--- a/src/brassdrum/daemon/lenders.py
+++ b/src/brassdrum/daemon/lenders.py
@@ -12,12 +12,12 @@
 from brassdrum.membership.peer_pb2 import Demand, LendReply, LendRequest, Slice
 from brassdrum.telemetry.control_cost import ControlCost
 
-__all__ = ["LendersHere"]
+__all__ = ["LocalLenders"]
 
 _logger = logging.getLogger(__name__)
 
 
-class LendersHere:
+class LocalLenders:
     """Keep a lender for each organisation that daemons ask this one for."""
 
     def __init__(
@@ -32,25 +32,25 @@
         self._clock = clock
         self._census = census
         self._cost = cost
-        self._term = term_seconds
+        self._term_seconds = term_seconds
         self._lock = threading.Lock()
         self._limits_by_organisation: dict[str, Allowance] = {}
-        self._by_organisation: dict[str, Lender] = {}
-        self._short_borrowers: set[tuple[str, str]] = set()
+        self._lenders_by_organisation: dict[str, Lender] = {}
+        self._underallocated_borrowers: set[tuple[str, str]] = set()
 
     def configure(self, limits_by_organisation: Mapping[str, Allowance]) -> None:
         """Take over the limits of the contracts in force."""
         with self._lock:
             self._limits_by_organisation = dict(limits_by_organisation)
             for organisation, limits in limits_by_organisation.items():
-                lender = self._by_organisation.get(organisation)
+                lender = self._lenders_by_organisation.get(organisation)
                 if lender is not None:
                     lender.set_limits(limits)
 
-    def lent(self, organisation: str) -> dict[str, Allowance]:
+    def slices_lent(self, organisation: str) -> dict[str, Allowance]:
         """Return what is lent from here, by daemon; nothing where another one lends."""
         with self._lock:
-            lender = self._by_organisation.get(organisation)
+            lender = self._lenders_by_organisation.get(organisation)
             return {} if lender is None else lender.allowances_by_daemon(self._clock.monotonic())
 
     def lend(self, request: LendRequest) -> LendReply:
@@ -68,33 +68,33 @@
                 if request.gives_back:
                     lender.return_slice(request.borrower)
                     continue
-                grant = lender.lend(request.borrower, _demand(demand), census, now)
-                self._note_short(demand, request.borrower, grant, census)
-                reply.slices.append(_slice(demand.organisation, grant, now))
+                grant = lender.lend(request.borrower, _borrower_demand(demand), census, now)
+                self._log_allocation_change(demand, request.borrower, grant, census)
+                reply.slices.append(_slice_message(demand.organisation, grant, now))
         return reply
 
     def _lender(self, organisation: str, now: float) -> Lender | None:
         limits = self._limits_by_organisation.get(organisation)
         if limits is None:
             return None
-        lender = self._by_organisation.get(organisation)
+        lender = self._lenders_by_organisation.get(organisation)
         if lender is None:
-            lender = Lender(limits, self._term, now)
-            self._by_organisation[organisation] = lender
+            lender = Lender(limits, self._term_seconds, now)
+            self._lenders_by_organisation[organisation] = lender
         return lender
 
-    def _note_short(
+    def _log_allocation_change(
         self, demand: Demand, borrower: str, grant: Grant, census: MembershipView
     ) -> None:
         """Log when a borrower begins or ceases to be lent fewer places than it asks for."""
         key = (demand.organisation, borrower)
         short = grant.allowance.concurrency < demand.concurrency
-        if short == (key in self._short_borrowers):
+        if short == (key in self._underallocated_borrowers):
             return
         if short:
-            self._short_borrowers.add(key)
+            self._underallocated_borrowers.add(key)
         else:
-            self._short_borrowers.discard(key)
+            self._underallocated_borrowers.discard(key)
         _logger.info(
             "slice short" if short else "slice whole",
             extra={
@@ -109,7 +109,7 @@
         )
 
 
-def _demand(told: Demand) -> BorrowerDemand:
+def _borrower_demand(told: Demand) -> BorrowerDemand:
     return BorrowerDemand(
         told.requests_per_second,
         told.tokens_per_second,
@@ -118,7 +118,7 @@
     )
 
 
-def _slice(organisation: str, grant: Grant, now: float) -> Slice:
+def _slice_message(organisation: str, grant: Grant, now: float) -> Slice:
     return Slice(
         organisation=organisation,
         requests_per_second=grant.allowance.requests_per_second,
--- a/src/brassdrum/daemon/limits.py
+++ b/src/brassdrum/daemon/limits.py
@@ -13,26 +13,26 @@
 from brassdrum.admission.limits import Allowance, LocalLimiter, Refusal
 from brassdrum.clock import Clock
 from brassdrum.contracts.documents import Contract
-from brassdrum.daemon.lenders import LendersHere
+from brassdrum.daemon.lenders import LocalLenders
 from brassdrum.errors import LimitExceededError
 from brassdrum.membership.gossip import PeerClients
 from brassdrum.membership.peer_pb2 import Demand, LendReply, LendRequest
 from brassdrum.telemetry.control_cost import ControlCost
 
-__all__ = ["LimitBook"]
+__all__ = ["DistributedLimiter"]
 
 _logger = logging.getLogger(__name__)
 _TERM_SECONDS = 2.0
-_CALL_SECONDS = 0.5
-_ACTIVE_RATE = 0.01
-_ASK_AGAIN_SECONDS = 0.5
-_FIRST_CALL_SECONDS = 0.1
-_LAPSED_TERMS = 5.0
+_RENEWAL_TIMEOUT_SECONDS = 0.5
+_MIN_ACTIVE_REQUESTS_PER_SECOND = 0.01
+_FIRST_BORROW_INTERVAL_SECONDS = 0.5
+_BLOCKING_CALL_TIMEOUT_SECONDS = 0.1
+_FALLBACK_TERMS = 5.0
 # From one place to a thousand are ten doublings; room that other threads take counts too.
-_MOST_DOUBLINGS = 16
+_MAX_BORROW_ATTEMPTS = 16
 # After a lender had no more to lend, a daemon does not ask it before a refusal for this long: what
 # others hold is free after a term at the latest.
-_SHORT_SECONDS = _TERM_SECONDS
+_EXHAUSTED_BACKOFF_SECONDS = _TERM_SECONDS
 
 
 def _allowance(contract: Contract) -> Allowance:
@@ -40,7 +40,7 @@
     return Allowance(limits.requests_per_second, limits.tokens_per_second, limits.concurrency)
 
 
-class LimitBook:
+class DistributedLimiter:
     """Know every organisation's slice on this daemon and lend those it is the lender of."""
 
     def __init__(
@@ -56,18 +56,20 @@
         self._name = name
         self._clock = clock
         self._clients = clients
-        self._census = census
+        self._membership_view = census
         self._address_of = address_of
         self._cost = cost
-        self._term = term_seconds
+        self._term_seconds = term_seconds
         self._lock = threading.Lock()
         self._limits_by_organisation: dict[str, Allowance] = {}
         self._limiters_by_organisation: dict[str, LocalLimiter] = {}
-        self._asked_by_organisation: dict[str, float] = {}
+        self._borrowed_at_by_organisation: dict[str, float] = {}
         self._grants_by_organisation: dict[str, Grant] = {}
-        self._lenders = LendersHere(name, clock, census, cost, term_seconds)
-        self._asking_by_organisation: defaultdict[str, threading.Lock] = defaultdict(threading.Lock)
-        self._short_until_by_organisation: dict[str, float] = {}
+        self._lenders = LocalLenders(name, clock, census, cost, term_seconds)
+        self._borrow_locks_by_organisation: defaultdict[str, threading.Lock] = defaultdict(
+            threading.Lock
+        )
+        self._exhausted_until_by_organisation: dict[str, float] = {}
         self._stopped = False
 
     def configure(self, contracts: Iterable[Contract]) -> None:
@@ -80,15 +82,15 @@
 
     def acquire(self, organisation: str, tokens: int) -> None:
         """Take room for a request, or raise ``LimitExceededError``; it did not run then."""
-        self._borrow_first(organisation, tokens)
-        refusal = self._try(organisation, tokens, LocalLimiter.acquire)
-        for _ in range(_MOST_DOUBLINGS):
+        self._borrow_if_idle(organisation, tokens)
+        refusal = self._try_acquire(organisation, tokens, LocalLimiter.acquire)
+        for _ in range(_MAX_BORROW_ATTEMPTS):
             if refusal is None or not self._borrow_more(organisation, refusal):
                 break
-            refusal = self._try(organisation, tokens, LocalLimiter.retry_acquire)
+            refusal = self._try_acquire(organisation, tokens, LocalLimiter.retry_acquire)
         if refusal is None:
             return
-        self._tell_refusal(organisation, refusal)
+        self._log_refusal(organisation, refusal)
         raise LimitExceededError(
             f"The contract's {refusal.limit} is used up.",
             retry_after=min(60.0, max(0.05, refusal.retry_after)),
@@ -109,13 +111,13 @@
     def slice_of(self, organisation: str) -> Allowance:
         """Return the slice in force on this daemon."""
         with self._lock:
-            return self._slice(organisation, self._clock.monotonic())
+            return self._current_slice(organisation, self._clock.monotonic())
 
-    def lent(self, organisation: str) -> dict[str, Allowance]:
+    def slices_lent(self, organisation: str) -> dict[str, Allowance]:
         """Return what is lent from here, by daemon; nothing where another one lends."""
-        return self._lenders.lent(organisation)
+        return self._lenders.slices_lent(organisation)
 
-    def give_back(self) -> None:
+    def return_slices(self) -> None:
         """Tell the lenders, once nothing runs here any more, that they may lend our slices anew.
 
         Kept till the end of its term, the slice of each daemon that had gone took up to a third of
@@ -125,40 +127,44 @@
             self._stopped = True
             held = [Demand(organisation=each) for each in self._grants_by_organisation]
         calls = []
-        for lender, demands in self._by_lender(held).items():
+        for lender, demands in self._group_by_lender(held).items():
             address = None if lender == self._name else self._address_of(lender)
             if address is None:
                 continue
             request = LendRequest(borrower=self._name, demands=demands, gives_back=True)
-            call = self._clients.stub(address).Lend.future(request, timeout=_FIRST_CALL_SECONDS)
+            call = self._clients.stub(address).Lend.future(
+                request, timeout=_BLOCKING_CALL_TIMEOUT_SECONDS
+            )
             calls.append((lender, call))
         for lender, call in calls:
             error = call.exception()
             if error is not None:
                 _logger.info("slices not given back", extra={"lender": lender, "error": str(error)})
 
-    def borrow(self) -> None:
+    def renew_slices(self) -> None:
         """Ask the lenders of all active organisations for slices of the next term."""
         if self._stopped:
             return
-        for lender, demands in self._by_lender(self._demands()).items():
+        for lender, demands in self._group_by_lender(self._demands()).items():
             request = LendRequest(borrower=self._name, demands=demands)
             if lender == self._name:
-                self._take(self.lend(request))
+                self._apply_reply(self.lend(request))
                 continue
             address = self._address_of(lender)
             if address is not None:
                 self._cost.add("limits", request.ByteSize())
-                call = self._clients.stub(address).Lend.future(request, timeout=_CALL_SECONDS)
-                call.add_done_callback(self._receive)
+                call = self._clients.stub(address).Lend.future(
+                    request, timeout=_RENEWAL_TIMEOUT_SECONDS
+                )
+                call.add_done_callback(self._handle_reply)
 
     def lend(self, request: LendRequest) -> LendReply:
         """Return slices for a borrower."""
         return self._lenders.lend(request)
 
-    def _by_lender(self, demands: Iterable[Demand]) -> dict[str, list[Demand]]:
+    def _group_by_lender(self, demands: Iterable[Demand]) -> dict[str, list[Demand]]:
         """Return demands by the daemon that lends their organisation's limits."""
-        daemons = self._census().live
+        daemons = self._membership_view().live
         by_lender: dict[str, list[Demand]] = {}
         for demand in demands:
             lender = lender_of(demand.organisation, daemons)
@@ -166,7 +172,7 @@
                 by_lender.setdefault(lender, []).append(demand)
         return by_lender
 
-    def _try(
+    def _try_acquire(
         self,
         organisation: str,
         tokens: int,
@@ -174,19 +180,21 @@
     ) -> Refusal | None:
         now = self._clock.monotonic()
         with self._lock:
-            return acquire(self._limiter_in_force(organisation, now), tokens, now)
+            return acquire(self._updated_limiter(organisation, now), tokens, now)
 
-    def _borrow_first(self, organisation: str, tokens: int) -> None:
+    def _borrow_if_idle(self, organisation: str, tokens: int) -> None:
         """Ask the lender at once when an organisation that was idle here sends a request."""
         now = self._clock.monotonic()
         with self._lock:
             grant = self._grants_by_organisation.get(organisation)
-            asked = self._asked_by_organisation.get(organisation, float("-inf"))
-            if (grant is not None and grant.expires > now) or now - asked < _ASK_AGAIN_SECONDS:
+            asked = self._borrowed_at_by_organisation.get(organisation, float("-inf"))
+            if (
+                grant is not None and grant.expires > now
+            ) or now - asked < _FIRST_BORROW_INTERVAL_SECONDS:
                 return
-            self._asked_by_organisation[organisation] = now
+            self._borrowed_at_by_organisation[organisation] = now
         running = self.in_flight(organisation)
-        self._ask(
+        self._request_slice(
             Demand(
                 organisation=organisation,
                 requests_per_second=1.0,
@@ -203,31 +211,33 @@
         of the callers that moved to it for a second or more while 400 of 1000 places were free.
         """
         with self._lock:
-            asking = self._asking_by_organisation[organisation]
+            asking = self._borrow_locks_by_organisation[organisation]
         with asking:
-            if self._has_room(organisation):
+            if self._has_capacity(organisation):
                 # Another thread that waited for the same answer has asked.
                 return True
             now = self._clock.monotonic()
             with self._lock:
-                if now < self._short_until_by_organisation.get(organisation, float("-inf")):
+                if now < self._exhausted_until_by_organisation.get(organisation, float("-inf")):
                     return False
-                demand = self._doubled(organisation, refusal, now)
-            self._ask(demand)
-            if self._has_room(organisation):
+                demand = self._doubled_demand(organisation, refusal, now)
+            self._request_slice(demand)
+            if self._has_capacity(organisation):
                 return True
             with self._lock:
-                self._short_until_by_organisation[organisation] = now + _SHORT_SECONDS
+                self._exhausted_until_by_organisation[organisation] = (
+                    now + _EXHAUSTED_BACKOFF_SECONDS
+                )
             return False
 
-    def _has_room(self, organisation: str) -> bool:
+    def _has_capacity(self, organisation: str) -> bool:
         now = self._clock.monotonic()
         with self._lock:
-            return self._limiter_in_force(organisation, now).refusal(now) is None
+            return self._updated_limiter(organisation, now).refusal(now) is None
 
-    def _doubled(self, organisation: str, refusal: Refusal, now: float) -> Demand:
+    def _doubled_demand(self, organisation: str, refusal: Refusal, now: float) -> Demand:
         limiter = self._limiter(organisation, now)
-        slice_ = self._slice(organisation, now)
+        slice_ = self._current_slice(organisation, now)
         requests, tokens = limiter.demand.rates(now)
         if refusal.limit == "requests_per_second":
             requests = max(requests, 2.0 * slice_.requests_per_second)
@@ -241,18 +251,20 @@
             running=limiter.in_flight,
         )
 
-    def _ask(self, demand: Demand) -> None:
+    def _request_slice(self, demand: Demand) -> None:
         """Ask the lender of an organisation for a slice and wait shortly for its answer."""
-        lender = lender_of(demand.organisation, self._census().live)
+        lender = lender_of(demand.organisation, self._membership_view().live)
         request = LendRequest(borrower=self._name, demands=[demand])
         if lender == self._name:
-            self._take(self.lend(request))
+            self._apply_reply(self.lend(request))
             return
         address = None if lender is None else self._address_of(lender)
         if address is None:
             return
         try:
-            self._take(self._clients.stub(address).Lend(request, timeout=_FIRST_CALL_SECONDS))
+            self._apply_reply(
+                self._clients.stub(address).Lend(request, timeout=_BLOCKING_CALL_TIMEOUT_SECONDS)
+            )
         except grpc.RpcError as error:
             # The slice at hand, or the static one, decides; the next renewal asks again.
             _logger.info(
@@ -260,16 +272,16 @@
                 extra={"organisation": demand.organisation, "lender": lender, "error": str(error)},
             )
 
-    def _tell_refusal(self, organisation: str, refusal: Refusal) -> None:
+    def _log_refusal(self, organisation: str, refusal: Refusal) -> None:
         """Log what a refusal rests on: the slice, where it came from, its age, who lends."""
         now = self._clock.monotonic()
         with self._lock:
             grant = self._grants_by_organisation.get(organisation)
-            slice_ = self._slice(organisation, now)
+            slice_ = self._current_slice(organisation, now)
             running = self._limiter(organisation, now).in_flight
         source = "static" if grant is None else "lent" if grant.expires > now else "lapsed"
-        age = None if grant is None else round(now - grant.expires + self._term, 3)
-        census = self._census()
+        age = None if grant is None else round(now - grant.expires + self._term_seconds, 3)
+        census = self._membership_view()
         _logger.info(
             "limit refused",
             extra={
@@ -289,23 +301,23 @@
     def _limiter(self, organisation: str, now: float) -> LocalLimiter:
         limiter = self._limiters_by_organisation.get(organisation)
         if limiter is None:
-            limiter = LocalLimiter(self._slice(organisation, now), now)
+            limiter = LocalLimiter(self._current_slice(organisation, now), now)
             self._limiters_by_organisation[organisation] = limiter
         return limiter
 
-    def _limiter_in_force(self, organisation: str, now: float) -> LocalLimiter:
+    def _updated_limiter(self, organisation: str, now: float) -> LocalLimiter:
         """Return the limiter with the slice that is in force now."""
         limiter = self._limiter(organisation, now)
-        limiter.set_allowance(self._slice(organisation, now), now)
+        limiter.set_allowance(self._current_slice(organisation, now), now)
         return limiter
 
-    def _slice(self, organisation: str, now: float) -> Allowance:
+    def _current_slice(self, organisation: str, now: float) -> Allowance:
         grant = self._grants_by_organisation.get(organisation)
         if grant is not None and grant.expires > now:
             return grant.allowance
         limits = self._limits_by_organisation.get(organisation, Allowance(0.0, 0.0, 0))
-        static = static_slice(limits, self._name, self._census().known)
-        if grant is not None and now - grant.expires < _LAPSED_TERMS * self._term:
+        static = static_slice(limits, self._name, self._membership_view().known)
+        if grant is not None and now - grant.expires < _FALLBACK_TERMS * self._term_seconds:
             return grant.fallback_allowance(static)
         return static
 
@@ -316,7 +328,7 @@
             for organisation, limiter in self._limiters_by_organisation.items():
                 requests, tokens = limiter.demand.rates(now)
                 wanted = limiter.pop_concurrency_demand()
-                if requests < _ACTIVE_RATE and wanted == 0:
+                if requests < _MIN_ACTIVE_REQUESTS_PER_SECOND and wanted == 0:
                     continue
                 demands.append(
                     Demand(
@@ -329,13 +341,13 @@
                 )
         return demands
 
-    def _receive(self, call: grpc.Future) -> None:
+    def _handle_reply(self, call: grpc.Future) -> None:
         if call.cancelled() or call.exception() is not None:
             return
         self._cost.add("limits", call.result().ByteSize())
-        self._take(call.result())
+        self._apply_reply(call.result())
 
-    def _take(self, reply: LendReply) -> None:
+    def _apply_reply(self, reply: LendReply) -> None:
         now = self._clock.monotonic()
         with self._lock:
             for lent in reply.slices:
--- a/src/brassdrum/daemon/main.py
+++ b/src/brassdrum/daemon/main.py
@@ -22,10 +22,10 @@
 from brassdrum.daemon.explanations import Explanations
 from brassdrum.daemon.fleet import Fleet
 from brassdrum.daemon.groups import Groups
-from brassdrum.daemon.limits import LimitBook
+from brassdrum.daemon.limits import DistributedLimiter
 from brassdrum.daemon.relay import Relay
 from brassdrum.daemon.routes import make_router
-from brassdrum.daemon.sharing import EndpointSharing
+from brassdrum.daemon.sharing import EndpointGossip
 from brassdrum.daemon.watch import Watch
 from brassdrum.leadership.holder import DutyHolder
 from brassdrum.leadership.lease import Lease
@@ -91,7 +91,7 @@
             ),
             settings.queue_length,
         )
-        self._limits = LimitBook(
+        self._limits = DistributedLimiter(
             settings.name, self._clock, self._clients, self._census, self._peer_address, self._cost
         )
         self._hosts = HostWatch(
@@ -103,7 +103,7 @@
             self._clock,
             lambda: self.gossip.table.silent_seconds,
         )
-        self._sharing = EndpointSharing(
+        self._sharing = EndpointGossip(
             settings.name,
             self._dispatcher,
             self._clock,
@@ -111,7 +111,9 @@
             self._own_leaving,
             self._gossiped_leaving,
         )
-        self._endpoint_watch = EndpointWatch(self._dispatcher, self._clock, self._sharing.observed)
+        self._endpoint_watch = EndpointWatch(
+            self._dispatcher, self._clock, self._sharing.poll_filter
+        )
         self.core = self._make_core()
         self._http = HttpServer(
             self._router_placeholder,
@@ -219,7 +221,7 @@
 
     def slices_lent(self, organisation: str) -> dict[str, Allowance]:
         """Return what this daemon, as the lender of an organisation's limits, lends to whom."""
-        return self._limits.lent(organisation)
+        return self._limits.slices_lent(organisation)
 
     def start(self) -> None:
         """Begin to serve and to follow the platform."""
@@ -233,7 +235,7 @@
             loops.every("claims", shard.tail.pause, shard.tail.step)
             loops.every("appender", lambda: 0.0, shard.appender.step)
         loops.every("gossip", self.gossip.pause, self.gossip.step)
-        loops.every("limits", lambda: settings.gossip_seconds, self._limits.borrow)
+        loops.every("limits", lambda: settings.gossip_seconds, self._limits.renew_slices)
         loops.every("hosts", self._hosts_pause, self._read_hosts)
         loops.every("endpoints", lambda: settings.poll_seconds, self._endpoint_watch.step)
         loops.every("leaving", lambda: settings.poll_seconds / 2, self._sharing.mark_leaving)
@@ -256,7 +258,7 @@
                 "requests cut at the drain limit", extra={"left": len(self.core.active)}
             )
         self._duty.release()
-        self._limits.give_back()
+        self._limits.return_slices()
         self._flush()
         self.close()
 
@@ -326,14 +328,14 @@
         entry.through = self._control.through
         if entry.state != LEAVING:
             entry.state = STARTING if self.not_ready() else READY
-        self._sharing.describe(entry)
+        self._sharing.fill_entry(entry)
         self.core.guard.describe(entry)
 
     def _merged(self, newer: list[DaemonEntry]) -> None:
         with self.gossip.lock:
             live = self.gossip.table.live_peers(self._clock.monotonic())
             long_loads = [record.entry.long_load for record in live]
-        self._sharing.take(newer, long_loads)
+        self._sharing.merge_entries(newer, long_loads)
         self.core.guard.take(newer)
 
     def _own_leaving(self) -> set[str]:
--- a/src/brassdrum/daemon/sharing.py
+++ b/src/brassdrum/daemon/sharing.py
@@ -16,7 +16,7 @@
 from brassdrum.membership.peer_pb2 import DaemonEntry, EndpointLoad, EndpointReport
 from brassdrum.routing.state import LoadReport, PeerLoad
 
-__all__ = ["EndpointSharing"]
+__all__ = ["EndpointGossip"]
 
 
 def _own_loads(fleet: Fleet, *, long_only: bool) -> list[EndpointLoad]:
@@ -36,7 +36,7 @@
     return loads
 
 
-def _take_report(fleet: Fleet, told: EndpointReport, heard: float) -> None:
+def _apply_report(fleet: Fleet, told: EndpointReport, heard: float) -> None:
     state = fleet.states_by_name.get(told.endpoint)
     at = heard - told.age_milliseconds / 1000
     if state is None or (state.report is not None and state.report.at >= at):
@@ -44,7 +44,7 @@
     state.report = LoadReport(at, told.streams, told.queued_tokens, told.kv_tokens_held)
 
 
-def _take_loads(fleet: Fleet, entry: DaemonEntry, now: float) -> None:
+def _apply_loads(fleet: Fleet, entry: DaemonEntry, now: float) -> None:
     fleet.drop_peer_loads(entry.name, {load.endpoint for load in entry.loads})
     for load in entry.loads:
         fleet.take_peer_load(
@@ -53,10 +53,10 @@
             PeerLoad(now, load.streams, load.queued_tokens, load.long_prefills),
         )
     for report in entry.reports:
-        _take_report(fleet, report, now)
+        _apply_report(fleet, report, now)
 
 
-class EndpointSharing:
+class EndpointGossip:
     """Keep this daemon's picture of the endpoints and everybody else's in step."""
 
     def __init__(
@@ -76,7 +76,7 @@
         self._reports = ReportSharing()
         self._observers = ObserverMap(name)
 
-    def describe(self, entry: DaemonEntry) -> None:
+    def fill_entry(self, entry: DaemonEntry) -> None:
         """Fill in what this daemon tells of endpoints in a round."""
         now = self._clock.monotonic()
         serving = self._serving()
@@ -95,13 +95,13 @@
         del entry.failing_endpoints[:]
         entry.failing_endpoints.extend(failing)
 
-    def take(self, newer: list[DaemonEntry], long_loads: list[float]) -> None:
+    def merge_entries(self, newer: list[DaemonEntry], long_loads: list[float]) -> None:
         """Take in entries that are newer than known, and all live daemons' long load."""
         now = self._clock.monotonic()
         with self._dispatcher.lock:
             fleet = self._dispatcher.fleet
             for entry in newer:
-                _take_loads(fleet, entry, now)
+                _apply_loads(fleet, entry, now)
             fleet.peers_long_load = sum(long_loads)
         if any(entry.leaving_endpoints for entry in newer):
             self.mark_leaving()
@@ -115,7 +115,7 @@
                     state.since = self._clock.monotonic()
                 state.leaving = name in leaving
 
-    def observed(self) -> Callable[[str], bool]:
+    def poll_filter(self) -> Callable[[str], bool]:
         """Return a test of whether this daemon asks an endpoint for its load."""
         serving = self._serving()
         return lambda endpoint: self._observers.observes(endpoint, serving)
