--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps on limits over several daemons."""
+"""Steps on contract limits across several daemons."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -12,7 +12,7 @@
 
 
 def running(context):
-    """Return how many streams the engines run now."""
+    """Return the number of streams that run on the engines."""
     return sum(
         1
         for engine in context.site.engines
@@ -22,35 +22,35 @@
 
 
 @when("{callers:d} callers stream {tokens:d} tokens each through all daemons")
-def step_callers(context, callers, tokens):
+def step_stream(context, callers, tokens):
     daemons = context.site.daemons
-    context.most = getattr(context, "most", 0)
+    context.max_running = getattr(context, "max_running", 0)
 
     def send(number):
-        found = []
+        answers = []
         for attempt in range(6):
             url = daemons[(number + attempt) % len(daemons)].url
             answer = Caller(url, context.secret).complete(MODEL, f"{number} {attempt}", tokens)
-            found.append(answer)
+            answers.append(answer)
             if answer.whole:
                 break
             time.sleep(0.3)
-        return found
+        return answers
 
     with ThreadPoolExecutor(callers) as executor:
         futures = [executor.submit(send, number) for number in range(callers)]
         while not all(future.done() for future in futures):
-            context.most = max(context.most, running(context))
+            context.max_running = max(context.max_running, running(context))
             time.sleep(0.005)
         context.answers = [answer for future in futures for answer in future.result()]
 
 
-@then("at most {most:d} ran at once and at least {least:d} did")
-def step_most(context, most, least):
-    assert least <= context.most <= most, context.most
+@then("at most {maximum:d} streams ran concurrently, and at least {minimum:d}")
+def step_concurrency(context, maximum, minimum):
+    assert minimum <= context.max_running <= maximum, context.max_running
 
 
-@then("everything else was refused with {code}, not run, and when to come back")
+@then("every other request was refused with {code}, not run, and a retry delay")
 def step_refusals(context, code):
     refused = [answer for answer in context.answers if not answer.whole]
     assert refused
@@ -59,8 +59,8 @@
         assert answer.error["retry_after"] > 0 and "Retry-After" in answer.headers
 
 
-@when("callers send as fast as they can for {seconds:d} seconds to one daemon")
-def step_fast(context, seconds):
+@when("callers send requests to one daemon without a pause for {seconds:d} seconds")
+def step_unpaced(context, seconds):
     caller = Caller(context.site.daemons[0].url, context.secret)
     started = time.monotonic()
     load = Load(
@@ -73,13 +73,13 @@
     context.seconds = time.monotonic() - started
 
 
-@then("no more were answered than the limit and one burst allow")
+@then("no more requests succeeded than the limit plus one burst")
 def step_rate(context):
     rate = context.contract.limits.requests_per_second
-    answered = sum(answer.status == 200 for answer in context.answers)
-    assert answered <= rate * context.seconds + rate, (answered, context.seconds)
-    # Alone it may use the whole limit, not a third of it: slices follow demand.
-    assert answered >= rate * 1.2, (answered, context.seconds)
+    succeeded = sum(answer.status == 200 for answer in context.answers)
+    assert succeeded <= rate * context.seconds + rate, (succeeded, context.seconds)
+    # With all the demand, one daemon gets more than its static third of the limit.
+    assert succeeded >= rate * 1.2, (succeeded, context.seconds)
 
 
 @when("the lender is stopped")
