--- a/features/lending.feature
+++ b/features/lending.feature
@@ -1,35 +1,29 @@
-Feature: No daemon is left without a slice of a limit that has room
+Feature: Slices of an organisation's limits follow demand
 
-  Daemons hold slices of a contract's limits for terms of 2 s. While daemons were replaced one after
-  the other, one that served was lent a slice of 0 of 1000, with 8 requests running in all, and refused
-  its callers with "The contract's concurrency is used up" (replacing.feature, 6 of 28 plays beside
-  load). The record of the lends showed three causes that add up:
-  a daemon that had just been put on the host list counted as cut off before it could be heard, and a
-  third to three quarters of the limit were kept back for it ("live 2, known 3", lent 0 of 667);
-  the slices of daemons that had gone counted until the end of their terms (243 and 324 of 1000);
-  and what a lender lends in its first term took up all of the limit but 3 in 100, so that the next
-  newcomers found nothing.
+  Daemons borrow slices of a contract's limits from one lender per organisation for terms of 2 s.
+  A daemon that serves must keep a usable slice while the limit has free capacity: when daemons join
+  the host list, when daemons stop or are killed, and during a lender's first term.
 
-  Scenario: Three daemons are replaced in turn, 0.3 seconds apart, with 600 of 1000 in use
-    Given three daemons that hold slices of 1000 concurrent requests and run 600 of them
-    When they are replaced in turn, 0.3 seconds apart, and their callers move to the newcomers
-    Then every newcomer gets room for 8 requests at once
-    And no daemon that serves is ever left without room
-    And what is lent never adds up to more than the limit
+  Scenario: Three daemons are replaced in turn, 0.3 seconds apart, with 600 of 1000 slots in use
+    Given three daemons that share a limit of 1000 concurrent requests and run 600
+    When they are replaced in turn, 0.3 seconds apart, and their callers move to the new daemons
+    Then every new daemon is granted at least 8 slots on its first request
+    And no serving daemon's slice drops to zero or below its running requests
+    And the granted slices never exceed the limit in total
 
-  Scenario: The same within a lender's first term
-    Given three daemons that hold slices of 1000 concurrent requests and run 600 of them
-    And their lender began 1 second before
-    When they are replaced in turn, 0.3 seconds apart, and their callers move to the newcomers
-    Then every newcomer gets room for 8 requests at once
-    And no daemon that serves is ever left without room
-    And what is lent never adds up to more than the limit
+  Scenario: Three daemons are replaced during the lender's first term
+    Given three daemons that share a limit of 1000 concurrent requests and run 600
+    And their lender started 1 second earlier
+    When they are replaced in turn, 0.3 seconds apart, and their callers move to the new daemons
+    Then every new daemon is granted at least 8 slots on its first request
+    And no serving daemon's slice drops to zero or below its running requests
+    And the granted slices never exceed the limit in total
 
-  Scenario Outline: A newcomer gets a place of a small limit of which half is in use
-    Given three daemons that hold slices of <limit> concurrent requests and run <running> of them
-    When one more daemon comes
-    Then it gets room for 1 request at once
-    And what is lent never adds up to more than the limit
+  Scenario Outline: A new daemon is granted a slot of a small limit that is half in use
+    Given three daemons that share a limit of <limit> concurrent requests and run <running>
+    When another daemon joins
+    Then it is granted at least 1 slot on its first request
+    And the granted slices never exceed the limit in total
 
     Examples:
       | limit | running |
@@ -37,38 +31,38 @@
       | 10    | 5       |
       | 32    | 16      |
 
-  Scenario: More daemons than places still use them all
-    Given a limit of 4 concurrent requests and 9 daemons with callers of their own
-    When they have asked for slices over 5 terms
-    Then all 4 places are lent
-    And what is lent never adds up to more than the limit
+  Scenario: All slots are granted when there are more daemons than slots
+    Given a limit of 4 concurrent requests and 9 daemons that all have demand
+    When they renew their slices for 5 terms
+    Then all 4 slots are granted
+    And the granted slices never exceed the limit in total
 
-  Scenario: Daemons that are no longer heard leave the others what these hold
-    Given four daemons that hold slices of 1000 concurrent requests and run 40 of them
-    When three of them are killed at once
-    Then the fourth keeps room for 8 requests more than it runs
-    And what is lent never adds up to more than the limit
+  Scenario: A surviving daemon keeps its slice when the others become unreachable
+    Given four daemons that share a limit of 1000 concurrent requests and run 40
+    When three of them are killed at the same time
+    Then the fourth keeps at least 8 free slots
+    And the granted slices never exceed the limit in total
 
-  Scenario: A daemon that was just put on the host list is not taken for one that is cut off
-    Given a daemon that has read a host list of three
-    When a fourth daemon is put on the list
-    Then it counts as cut off only when it was silent as long as any other has to be
-    And a daemon that starts counts all that its first list names
+  Scenario: A daemon just added to the host list does not count as unreachable
+    Given a daemon that has read a host list with three daemons
+    When a fourth daemon is added to the list
+    Then it counts as unreachable only after the silence timeout that applies to every daemon
+    And a daemon that starts counts every daemon on its first list
 
-  Scenario: The host list may change while it is asked
-    Given a host list on which a fourth daemon comes and goes
-    When it is read 2000 times while another thread asks which daemons count
-    Then each answer names the three that stay
+  Scenario: The host list may change while another thread queries it
+    Given a host list to which a fourth daemon is repeatedly added and removed
+    When the list is read 2000 times while another thread queries the known daemons
+    Then every query returns the three permanent daemons
 
-  Scenario: A daemon that stops gives its slices back
+  Scenario: A stopping daemon returns its slices
     Given a site of 3 daemons and 1 engine
     And every daemon holds a slice
-    When a daemon that is not the lender has stopped
-    Then the lender counts no slice of it any more
+    When a daemon other than the lender stops
+    Then the lender no longer lists a slice for it
 
-  Scenario: A daemon serves its first request when it has heard another daemon
-    Given a daemon whose host list names another one that it has not heard
-    Then it is not ready until it hears it, or until silence counts as being cut off
+  Scenario: A daemon becomes ready after it has heard from another daemon
+    Given a daemon whose host list names a peer that it has not heard from
+    Then it is not ready until it hears from the peer or the silence timeout expires
 
   Scenario: Callers beyond the limit leave no daemon without places
     # What callers want counted as what runs, so that two of three daemons got 0 of 30 for good.
@@ -85,5 +79,5 @@
     Then none of them is refused
     And never more than 1000 ran in all
 
-  Scenario: Rates that move between daemons give no more than the limit and one burst
-    Then however 4 daemons ask and use, together they use no more than the limits and one burst
+  Scenario: Rates that move between daemons admit no more than the limit and one burst
+    Then for any demand and use, 4 daemons together use at most the limits plus one burst
--- a/features/steps/lending_steps.py
+++ b/features/steps/lending_steps.py
@@ -1,4 +1,4 @@
-"""Steps on slices of limits while daemons come and go: a pure lender, and daemons around it."""
+"""Steps on the lending of limits while daemons join and leave."""
 
 import sys
 import threading
@@ -20,180 +20,186 @@
 from brassdrum.standins.site import MODEL
 from features.support import eventually
 
-TERM = 2.0
-RENEWAL = 0.2
-REPLACEMENTS_APART = 0.3
-# A daemon that leaves has answered what it runs after so many renewals.
-RENEWALS_TO_RUN_OUT = 3
-# Any one daemon can get all the eight callers of replacing.feature at once.
-ROOM_AT_ONCE = 8
+TERM_SECONDS = 2.0
+RENEWAL_SECONDS = 0.2
+REPLACEMENT_SECONDS = 0.3
+# A stopping daemon finishes its requests within this number of renewals.
+RENEWALS_TO_DRAIN = 3
+# All eight callers of replacing.feature may reach the same daemon.
+MIN_FIRST_SLOTS = 8
 
 
-class LentLimit:
-    """Play daemons that renew their slices, come, leave and are killed, before one lender."""
+class SimulatedDaemons:
+    """Simulates daemons that borrow from one lender while they join, leave and are killed."""
 
-    def __init__(self, limit, running_by_daemon, started=-100.0, wanted=1):
+    def __init__(self, limit, running_by_daemon, started=-100.0, min_demand=1):
         self.limit = limit
         self.now = 0.0
-        self.wanted = wanted
+        self.min_demand = min_demand
         self.running = dict(running_by_daemon)
         self.left = set()
-        self.silent = set()
-        self.first_places = {}
-        self.cut = []
-        self.most = 0
+        self.unreachable = set()
+        self.first_slots = {}
+        self.undersized = []
+        self.max_granted = 0
         self._grants = {}
-        self._lender = Lender(Allowance(1e4, 1e8, limit), TERM, started)
+        self._lender = Lender(Allowance(1e4, 1e8, limit), TERM_SECONDS, started)
 
-    def census(self):
-        """Return who is heard; those who left by plan are not known any more."""
-        live = [name for name in self.running if name not in self.left | self.silent]
-        return MembershipView(live, sorted({*live, *self.silent}))
+    def membership_view(self):
+        """Return the live and known daemons; those that left as planned are no longer known."""
+        live = [name for name in self.running if name not in self.left | self.unreachable]
+        return MembershipView(live, sorted({*live, *self.unreachable}))
 
     def renew(self, daemon):
-        """Let a daemon ask; return for how many requests at once it has room."""
+        """Renew a daemon's slice and return its concurrency."""
         running = self.running[daemon]
-        asked = BorrowerDemand(50.0, 5e3, max(self.wanted, running), running)
-        grant = self._lender.lend(daemon, asked, self.census(), self.now)
+        demand = BorrowerDemand(50.0, 5e3, max(self.min_demand, running), running)
+        grant = self._lender.lend(daemon, demand, self.membership_view(), self.now)
         self._grants[daemon] = grant
         live = [each for each in self._grants.values() if each.expires > self.now]
-        self.most = max(self.most, sum(each.allowance.concurrency for each in live))
+        self.max_granted = max(self.max_granted, sum(each.allowance.concurrency for each in live))
         requests = sum(each.allowance.requests_per_second for each in live)
-        assert requests <= 1e4 + 1e-6, f"{requests} of 10000 requests a second are lent"
+        assert requests <= 1e4 + 1e-6, f"{requests} of 10000 requests per second are granted"
         tokens = sum(each.allowance.tokens_per_second for each in live)
-        assert tokens <= 1e8 + 1e-3, f"{tokens} of 1e8 tokens a second are lent"
+        assert tokens <= 1e8 + 1e-3, f"{tokens} of 1e8 tokens per second are granted"
         return grant.allowance.concurrency
 
-    def lent(self):
-        """Return how many places are lent now."""
+    def granted_slots(self):
+        """Return the number of slots granted now."""
         live = [each for each in self._grants.values() if each.expires > self.now]
         return sum(each.allowance.concurrency for each in live)
 
-    def round(self, seconds=RENEWAL):
-        """Pass a renewal: all that are heard renew; none that serves may be cut to nothing."""
+    def renew_all(self, seconds=RENEWAL_SECONDS):
+        """Renew the slices of all live daemons; record each whose slice is too small."""
         self.now += seconds
         for daemon in list(self.running):
-            if daemon in self.silent:
+            if daemon in self.unreachable:
                 continue
-            room = self.renew(daemon)
-            if daemon not in self.left and room < max(1, self.running[daemon]):
-                self.cut.append((round(self.now, 2), daemon, self.running[daemon], room))
+            slots = self.renew(daemon)
+            if daemon not in self.left and slots < max(1, self.running[daemon]):
+                self.undersized.append((round(self.now, 2), daemon, self.running[daemon], slots))
 
-    def come(self, daemon):
-        """Let a daemon come and ask for its first request."""
+    def join(self, daemon):
+        """Add a daemon and request its first slice."""
         self.running[daemon] = 0
-        self.first_places[daemon] = self.renew(daemon)
+        self.first_slots[daemon] = self.renew(daemon)
 
     def move(self, old, new, count):
-        """Let callers of a daemon that leaves go to another one, as far as that has room."""
+        """Move callers of a leaving daemon to another one, up to its free slots."""
         moved = min(count, self.running[old])
         self.running[old] -= moved
-        room = self._grants[new].allowance.concurrency - self.running[new]
-        self.running[new] += max(0, min(moved, room))
+        slots = self._grants[new].allowance.concurrency - self.running[new]
+        self.running[new] += max(0, min(moved, slots))
 
 
-def _even(count, running):
-    """Return daemons that run equal parts of a number of requests."""
+def _distribute_evenly(count, running):
+    """Return daemons with evenly distributed running requests."""
     names = [f"old-{number}" for number in range(count)]
     return {name: running // count + (n < running % count) for n, name in enumerate(names)}
 
 
-def _count(word):
+def _parse_count(word):
     return {"three": 3, "four": 4}[word]
 
 
-@given("{count} daemons that hold slices of {limit:d} concurrent requests and run {busy:d} of them")
-def step_hold(context, count, limit, busy):
-    context.daemons = _even(_count(count), busy)
-    context.lent = LentLimit(limit, context.daemons)
+@given("{count} daemons that share a limit of {limit:d} concurrent requests and run {running:d}")
+def step_shared_limit(context, count, limit, running):
+    context.daemons = _distribute_evenly(_parse_count(count), running)
+    context.simulation = SimulatedDaemons(limit, context.daemons)
     for _ in range(15):
-        context.lent.round()
-    # What counts is what happens from here on: the first to ask is lent what others ask for later.
-    context.lent.cut.clear()
+        context.simulation.renew_all()
+    # Ignore the setup, in which the first borrower holds what the others demand later.
+    context.simulation.undersized.clear()
 
 
-@given("their lender began {seconds:d} second before")
-def step_began(context, seconds):
-    context.lent = LentLimit(context.lent.limit, context.daemons, started=RENEWAL - seconds)
-    context.lent.round()
-    context.lent.cut.clear()
+@given("their lender started {seconds:d} second earlier")
+def step_lender_started(context, seconds):
+    context.simulation = SimulatedDaemons(
+        context.simulation.limit, context.daemons, started=RENEWAL_SECONDS - seconds
+    )
+    context.simulation.renew_all()
+    context.simulation.undersized.clear()
 
 
-@when("they are replaced in turn, 0.3 seconds apart, and their callers move to the newcomers")
+@when("they are replaced in turn, 0.3 seconds apart, and their callers move to the new daemons")
 def step_replaced(context):
-    lent = context.lent
+    simulation = context.simulation
     moving = []
     for number, old in enumerate(context.daemons):
         new = f"new-{number}"
-        lent.come(new)
-        lent.left.add(old)
-        moving.append((old, new, lent.running[old] // RENEWALS_TO_RUN_OUT + 1))
-        # A renewal each 0.2 s, replacements each 0.3 s: one renewal in between, or two.
+        simulation.join(new)
+        simulation.left.add(old)
+        moving.append((old, new, simulation.running[old] // RENEWALS_TO_DRAIN + 1))
+        # With renewals every 0.2 s, one or two fall between two replacements.
         renewals = 2 if number % 2 else 1
         for _ in range(renewals):
             for each in moving:
-                lent.move(*each)
-            lent.round(REPLACEMENTS_APART / renewals)
+                simulation.move(*each)
+            simulation.renew_all(REPLACEMENT_SECONDS / renewals)
 
 
-@then("every newcomer gets room for {places:d} requests at once")
-def step_newcomers(context, places):
-    assert places == ROOM_AT_ONCE
-    assert min(context.lent.first_places.values()) >= places, context.lent.first_places
+@then("every new daemon is granted at least {slots:d} slots on its first request")
+def step_new_daemons(context, slots):
+    assert slots == MIN_FIRST_SLOTS
+    assert min(context.simulation.first_slots.values()) >= slots, context.simulation.first_slots
 
 
-@then("no daemon that serves is ever left without room")
+@then("no serving daemon's slice drops to zero or below its running requests")
 def step_not_cut(context):
-    assert not context.lent.cut, context.lent.cut[:3]
+    assert not context.simulation.undersized, context.simulation.undersized[:3]
 
 
-@then("what is lent never adds up to more than the limit")
-def step_within(context):
-    assert 0 < context.lent.most <= context.lent.limit, context.lent.most
+@then("the granted slices never exceed the limit in total")
+def step_total(context):
+    assert (
+        0 < context.simulation.max_granted <= context.simulation.limit
+    ), context.simulation.max_granted
 
 
-@when("one more daemon comes")
-def step_one_more(context):
-    context.lent.come("new")
+@when("another daemon joins")
+def step_another_daemon(context):
+    context.simulation.join("new")
 
 
-@then("it gets room for {places:d} request at once")
-def step_gets(context, places):
-    assert context.lent.first_places["new"] >= places, context.lent.first_places
+@then("it is granted at least {slots:d} slot on its first request")
+def step_first_slots(context, slots):
+    assert context.simulation.first_slots["new"] >= slots, context.simulation.first_slots
 
 
-@given("a limit of {limit:d} concurrent requests and {count:d} daemons with callers of their own")
-def step_more_daemons(context, limit, count):
-    context.lent = LentLimit(limit, _even(count, 0), started=0.0, wanted=3)
+@given("a limit of {limit:d} concurrent requests and {count:d} daemons that all have demand")
+def step_daemons_with_demand(context, limit, count):
+    context.simulation = SimulatedDaemons(
+        limit, _distribute_evenly(count, 0), started=0.0, min_demand=3
+    )
 
 
-@when("they have asked for slices over {terms:d} terms")
+@when("they renew their slices for {terms:d} terms")
 def step_terms(context, terms):
-    for _ in range(round(terms * TERM / RENEWAL)):
-        context.lent.round()
+    for _ in range(round(terms * TERM_SECONDS / RENEWAL_SECONDS)):
+        context.simulation.renew_all()
 
 
-@then("all {places:d} places are lent")
-def step_all_lent(context, places):
-    assert context.lent.lent() == places, context.lent.lent()
+@then("all {slots:d} slots are granted")
+def step_all_granted(context, slots):
+    assert context.simulation.granted_slots() == slots, context.simulation.granted_slots()
 
 
-@when("three of them are killed at once")
+@when("three of them are killed at the same time")
 def step_killed(context):
     *killed, context.survivor = context.daemons
-    context.lent.silent.update(killed)
-    context.lent.now += RENEWAL
-    context.room = context.lent.renew(context.survivor)
+    context.simulation.unreachable.update(killed)
+    context.simulation.now += RENEWAL_SECONDS
+    context.slots = context.simulation.renew(context.survivor)
 
 
-@then("the fourth keeps room for {places:d} requests more than it runs")
-def step_keeps(context, places):
-    running = context.lent.running[context.survivor]
-    assert context.room >= running + places, (context.room, running)
+@then("the fourth keeps at least {slots:d} free slots")
+def step_free_slots(context, slots):
+    running = context.simulation.running[context.survivor]
+    assert context.slots >= running + slots, (context.slots, running)
 
 
 class ListedHosts:
-    """Stand in for the host list."""
+    """Fake host list."""
 
     def __init__(self, names):
         self.names = list(names)
@@ -203,14 +209,14 @@
         return [Host(name, "daemon", False, peer_address="127.0.0.1:9") for name in self.names]
 
 
-SILENT_SECONDS = 1.2
+SILENCE_TIMEOUT_SECONDS = 1.2
 
 
 def _watch(context, hosts):
-    return HostWatch(hosts, context.clock, lambda: SILENT_SECONDS)
+    return HostWatch(hosts, context.clock, lambda: SILENCE_TIMEOUT_SECONDS)
 
 
-@given("a daemon that has read a host list of three")
+@given("a daemon that has read a host list with three daemons")
 def step_read_list(context):
     context.clock = ManualClock()
     context.hosts = ListedHosts(["d1", "d2", "d3"])
@@ -219,42 +225,42 @@
     assert context.watch.daemon_names() == ["d1", "d2", "d3"]
 
 
-@when("a fourth daemon is put on the list")
-def step_fourth(context):
+@when("a fourth daemon is added to the list")
+def step_added(context):
     context.hosts.names.append("d4")
     context.clock.advance(0.5)
     context.watch.step()
 
 
-@then("it counts as cut off only when it was silent as long as any other has to be")
-def step_counts_later(context):
+@then("it counts as unreachable only after the silence timeout that applies to every daemon")
+def step_silence_timeout(context):
     assert context.watch.daemon_names() == ["d1", "d2", "d3"]
     assert len(context.watch.daemon_addresses()) == 4
-    context.clock.advance(SILENT_SECONDS / 2)
+    context.clock.advance(SILENCE_TIMEOUT_SECONDS / 2)
     context.watch.step()
     assert context.watch.daemon_names() == ["d1", "d2", "d3"]
-    context.clock.advance(SILENT_SECONDS / 2)
+    context.clock.advance(SILENCE_TIMEOUT_SECONDS / 2)
     assert context.watch.daemon_names() == ["d1", "d2", "d3", "d4"]
 
 
-@then("a daemon that starts counts all that its first list names")
-def step_counts_all(context):
+@then("a daemon that starts counts every daemon on its first list")
+def step_first_list(context):
     watch = _watch(context, context.hosts)
     watch.step()
     assert watch.daemon_names() == ["d1", "d2", "d3", "d4"]
 
 
-@given("a host list on which a fourth daemon comes and goes")
-def step_flapping(context):
+@given("a host list to which a fourth daemon is repeatedly added and removed")
+def step_unstable_list(context):
     context.clock = ManualClock()
     context.hosts = ListedHosts(["d1", "d2", "d3"])
     context.watch = _watch(context, context.hosts)
     context.watch.step()
 
 
-@when("it is read {times:d} times while another thread asks which daemons count")
+@when("the list is read {times:d} times while another thread queries the known daemons")
 def step_read_often(context, times):
-    # Threads take turns as often as they can, so that one meets the other in the midst of a step.
+    # Frequent thread switches make the query likely to interrupt a reload.
     interval = sys.getswitchinterval()
     context.stack.push(lambda: sys.setswitchinterval(interval))
     sys.setswitchinterval(1e-6)
@@ -275,8 +281,8 @@
         context.answers = asking.result()
 
 
-@then("each answer names the three that stay")
-def step_three(context):
+@then("every query returns the three permanent daemons")
+def step_permanent(context):
     assert context.answers
     assert all(answer[:3] == ["d1", "d2", "d3"] for answer in context.answers)
 
@@ -291,7 +297,7 @@
     eventually(lambda: set(context.lender.slices_lent("quilters")) == set(names), "all hold slices")
 
 
-@when("a daemon that is not the lender has stopped")
+@when("a daemon other than the lender stops")
 def step_stopped(context):
     daemon = next(each for each in context.site.daemons if each is not context.lender)
     context.stopped = daemon.settings.name
@@ -299,13 +305,13 @@
     context.site.daemons.remove(daemon)
 
 
-@then("the lender counts no slice of it any more")
-def step_given_back(context):
+@then("the lender no longer lists a slice for it")
+def step_returned(context):
     holders = context.lender.slices_lent("quilters")
     assert context.stopped not in holders, holders
 
 
-@given("a daemon whose host list names another one that it has not heard")
+@given("a daemon whose host list names a peer that it has not heard from")
 def step_unheard(context):
     context.execute_steps("Given a site of 1 daemon and 1 engine")
     site = context.site
@@ -325,7 +331,7 @@
         context.late.append(daemon)
 
 
-@then("it is not ready until it hears it, or until silence counts as being cut off")
+@then("it is not ready until it hears from the peer or the silence timeout expires")
 def step_not_ready(context):
     hears, waits = context.late
     for daemon in context.late:
@@ -345,7 +351,7 @@
 )
 
 
-@then("however 4 daemons ask and use, together they use no more than the limits and one burst")
+@then("for any demand and use, 4 daemons together use at most the limits plus one burst")
 def step_bursts(_context):
     rate, names = 20.0, ["d0", "d1", "d2", "d3"]
 
@@ -353,7 +359,7 @@
     @given_examples(USES)
     def check(uses):
         limits = Allowance(rate, rate * 1e3, 1000)
-        lender = Lender(limits, TERM, 0.0)
+        lender = Lender(limits, TERM_SECONDS, 0.0)
         limiters = {name: LocalLimiter(Allowance(0.0, 0.0, 0), 0.0) for name in names}
         until = dict.fromkeys(names, 0.0)
         now, used = 0.0, 0
@@ -362,8 +368,8 @@
             name = names[number]
             limiter = limiters[name]
             if asks or until[name] <= now:
-                asked = BorrowerDemand(2.0 * count, 2e3 * count, count, limiter.in_flight)
-                grant = lender.lend(name, asked, MembershipView(names, names), now)
+                demand = BorrowerDemand(2.0 * count, 2e3 * count, count, limiter.in_flight)
+                grant = lender.lend(name, demand, MembershipView(names, names), now)
                 until[name] = grant.expires
                 limiter.set_allowance(grant.allowance, now)
                 limiter.add_burst(grant.burst_requests, grant.burst_tokens, now)
@@ -371,7 +377,7 @@
             for _ in range(taken):
                 limiter.release(1, 1, now)
             used += taken
-            # A daemon that is lent less than one request a second may still send one.
+            # A daemon with a rate below one request per second may still send one.
             assert used <= rate * now + rate + len(names), (used, now)
 
     check()
