--- a/features/lending.feature
+++ b/features/lending.feature
@@ -64,20 +64,20 @@
     Given a daemon whose host list names a peer that it has not heard from
     Then it is not ready until it hears from the peer or the silence timeout expires
 
-  Scenario: Callers beyond the limit leave no daemon without places
-    # What callers want counted as what runs, so that two of three daemons got 0 of 30 for good.
+  Scenario: Excess requests leave no daemon without slots
+    # Refused requests counted as running, so some daemons were granted no slots.
     Given 3 daemons share a limit of 30 concurrent requests
-    When ten times as many callers come to each of them for 10 seconds
-    Then each daemon ran 9 requests or more at once all the while after the first 4 seconds
-    And never more than 30 ran in all
+    When each daemon receives ten times as many requests for 10 seconds
+    Then each daemon ran at least 9 requests at all times after the first 4 seconds
+    And no more than 30 requests ran in total at any time
 
-  Scenario: A daemon asks for more room before it refuses a caller
-    # A newcomer's slice followed its callers by one renewal a doubling: seconds of refusals.
+  Scenario: A daemon requests a larger slice before it refuses a request
+    # Slices that grew only at renewals caused refusals while the limit had free capacity.
     Given 4 daemons share a limit of 1000 concurrent requests
-    When 200 requests run at each of the first three
-    And 200 callers come to the fourth in one moment
+    When 200 requests run on each of the first three
+    And 200 requests reach the fourth at the same time
     Then none of them is refused
-    And never more than 1000 ran in all
+    And no more than 1000 requests ran in total at any time
 
   Scenario: Rates that move between daemons admit no more than the limit and one burst
     Then for any demand and use, 4 daemons together use at most the limits plus one burst
--- a/features/steps/limit_book_steps.py
+++ b/features/steps/limit_book_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the limit books of several daemons, joined in memory, under a clock of the test."""
+"""Steps on the limiters of several daemons, connected in memory and with a manual clock."""
 
 from concurrent.futures import Future
 
@@ -12,38 +12,38 @@
 from brassdrum.telemetry.control_cost import ControlCost
 
 ORGANISATION = "quilters"
-TICK = 0.05
-TICKS_A_RENEWAL = 4
-TICKS_A_REQUEST = 3
+TICK_SECONDS = 0.05
+TICKS_PER_RENEWAL = 4
+TICKS_PER_REQUEST = 3
 SETTLED_SECONDS = 4.0
 
 
-class LendCall:
-    """Stand in for a peer's call to lend."""
+class FakeLendCall:
+    """Fake of the Lend call of a peer stub."""
 
-    def __init__(self, book):
-        self._book = book
+    def __init__(self, limiter):
+        self._limiter = limiter
 
     def __call__(self, request, timeout):
-        """Return slices for a borrower."""
-        return self._book.lend(request)
+        """Return the reply of the lender."""
+        return self._limiter.lend(request)
 
     def future(self, request, timeout):
-        """Return a call that is answered already."""
+        """Return a completed call."""
         call = Future()
-        call.set_result(self._book.lend(request))
+        call.set_result(self._limiter.lend(request))
         return call
 
 
-class PeerStandin:
-    """Stand in for the stub of one daemon."""
+class FakePeerStub:
+    """Fake of the peer stub of one daemon."""
 
-    def __init__(self, book):
-        self.Lend = LendCall(book)
+    def __init__(self, limiter):
+        self.Lend = FakeLendCall(limiter)
 
 
-class Books:
-    """Join the limit books of daemons that all hear each other."""
+class ConnectedLimiters:
+    """The limiters of daemons that can all reach each other."""
 
     def __init__(self, count, concurrency):
         self.clock = ManualClock()
@@ -51,7 +51,7 @@
         _, contract = sample_contract(ORGANISATION, concurrency=concurrency)
         self.by_name = {}
         for name in self.names:
-            book = DistributedLimiter(
+            limiter = DistributedLimiter(
                 name,
                 self.clock,
                 self,
@@ -59,86 +59,86 @@
                 lambda daemon: daemon,
                 ControlCost(),
             )
-            book.configure([contract])
-            self.by_name[name] = book
-        self.most = 0
+            limiter.configure([contract])
+            self.by_name[name] = limiter
+        self.max_running = 0
 
     def stub(self, address):
-        """Return the stub of a daemon; its name is its address."""
-        return PeerStandin(self.by_name[address])
+        """Return the stub of a daemon, whose address is its name."""
+        return FakePeerStub(self.by_name[address])
 
     def running(self, name):
-        """Return how many requests run at a daemon."""
+        """Return the number of requests in flight on a daemon."""
         return self.by_name[name].in_flight(ORGANISATION)
 
     def send(self, name):
-        """Return whether a daemon takes one more request."""
+        """Send a request to a daemon; return whether it was admitted."""
         try:
             self.by_name[name].acquire(ORGANISATION, 10)
         except LimitExceededError:
             return False
-        self.most = max(self.most, sum(map(self.running, self.names)))
+        self.max_running = max(self.max_running, sum(map(self.running, self.names)))
         return True
 
     def renew(self):
-        """Let each daemon ask for its next term."""
-        for book in self.by_name.values():
-            book.renew_slices()
+        """Renew the slices of all daemons."""
+        for limiter in self.by_name.values():
+            limiter.renew_slices()
 
 
-@given("{count:d} daemons share a limit of {places:d} concurrent requests")
-def step_books(context, count, places):
-    context.books = Books(count, places)
+@given("{count:d} daemons share a limit of {slots:d} concurrent requests")
+def step_limiters(context, count, slots):
+    context.limiters = ConnectedLimiters(count, slots)
 
 
-@when("ten times as many callers come to each of them for {seconds:d} seconds")
+@when("each daemon receives ten times as many requests for {seconds:d} seconds")
 def step_overload(context, seconds):
-    books = context.books
-    ends = []
-    context.least = dict.fromkeys(books.names, 1000)
-    for tick in range(round(seconds / TICK)):
-        books.clock.advance(TICK)
-        for name in [name for due, name in ends if due <= tick]:
-            books.by_name[name].release(ORGANISATION, 10, 10)
-        ends = [each for each in ends if each[0] > tick]
-        if tick % TICKS_A_RENEWAL == 0:
-            books.renew()
-        for name in books.names:
+    limiters = context.limiters
+    completions = []
+    context.min_running = dict.fromkeys(limiters.names, 1000)
+    for tick in range(round(seconds / TICK_SECONDS)):
+        limiters.clock.advance(TICK_SECONDS)
+        for name in [name for due, name in completions if due <= tick]:
+            limiters.by_name[name].release(ORGANISATION, 10, 10)
+        completions = [each for each in completions if each[0] > tick]
+        if tick % TICKS_PER_RENEWAL == 0:
+            limiters.renew()
+        for name in limiters.names:
             for _ in range(100):
-                if books.send(name):
-                    ends.append((tick + TICKS_A_REQUEST, name))
-            if tick * TICK > SETTLED_SECONDS:
-                context.least[name] = min(context.least[name], books.running(name))
+                if limiters.send(name):
+                    completions.append((tick + TICKS_PER_REQUEST, name))
+            if tick * TICK_SECONDS > SETTLED_SECONDS:
+                context.min_running[name] = min(context.min_running[name], limiters.running(name))
 
 
-@then("each daemon ran {places:d} requests or more at once all the while after the first 4 seconds")
-def step_each(context, places):
-    assert min(context.least.values()) >= places, context.least
+@then("each daemon ran at least {slots:d} requests at all times after the first 4 seconds")
+def step_min_running(context, slots):
+    assert min(context.min_running.values()) >= slots, context.min_running
 
 
-@then("never more than {places:d} ran in all")
-def step_never_more(context, places):
-    assert context.books.most <= places, context.books.most
+@then("no more than {slots:d} requests ran in total at any time")
+def step_max_running(context, slots):
+    assert context.limiters.max_running <= slots, context.limiters.max_running
 
 
-@when("{count:d} requests run at each of the first three")
+@when("{count:d} requests run on each of the first three")
 def step_run(context, count):
-    books = context.books
+    limiters = context.limiters
     for _ in range(30):
-        books.clock.advance(TICK * TICKS_A_RENEWAL)
-        for name in books.names[:3]:
-            while books.running(name) < count and books.send(name):
+        limiters.clock.advance(TICK_SECONDS * TICKS_PER_RENEWAL)
+        for name in limiters.names[:3]:
+            while limiters.running(name) < count and limiters.send(name):
                 pass
-        books.renew()
-    assert [books.running(name) for name in books.names] == [count] * 3 + [0]
+        limiters.renew()
+    assert [limiters.running(name) for name in limiters.names] == [count] * 3 + [0]
 
 
-@when("{count:d} callers come to the fourth in one moment")
-def step_moment(context, count):
-    context.served = [context.books.send(context.books.names[3]) for _ in range(count)]
+@when("{count:d} requests reach the fourth at the same time")
+def step_burst(context, count):
+    context.admitted = [context.limiters.send(context.limiters.names[3]) for _ in range(count)]
 
 
 @then("none of them is refused")
 def step_none_refused(context):
-    refused = context.served.count(False)
-    assert not refused, f"{refused} of {len(context.served)} refused"
+    refused = context.admitted.count(False)
+    assert not refused, f"{refused} of {len(context.admitted)} refused"
