--- a/src/brassdrum/daemon/limits.py
+++ b/src/brassdrum/daemon/limits.py
@@ -1,4 +1,4 @@
-"""Hold contracts' limits over all daemons: borrow slices, or fall back to static ones."""
+"""Enforce contracts' limits across all daemons, with borrowed slices or static ones as fallback."""
 
 from __future__ import annotations
 
@@ -28,10 +28,9 @@
 _FIRST_BORROW_INTERVAL_SECONDS = 0.5
 _BLOCKING_CALL_TIMEOUT_SECONDS = 0.1
 _FALLBACK_TERMS = 5.0
-# From one place to a thousand are ten doublings; room that other threads take counts too.
+# Ten doublings lead from 1 slot to 1000; the rest allow for capacity that other threads take.
 _MAX_BORROW_ATTEMPTS = 16
-# After a lender had no more to lend, a daemon does not ask it before a refusal for this long: what
-# others hold is free after a term at the latest.
+# A lender without free capacity is not asked again for a term: other slices have expired by then.
 _EXHAUSTED_BACKOFF_SECONDS = _TERM_SECONDS
 
 
@@ -41,14 +40,14 @@
 
 
 class DistributedLimiter:
-    """Know every organisation's slice on this daemon and lend those it is the lender of."""
+    """Enforces and renews the slices of all organisations on this daemon."""
 
     def __init__(
         self,
         name: str,
         clock: Clock,
         clients: PeerClients,
-        census: Callable[[], MembershipView],
+        membership: Callable[[], MembershipView],
         address_of: Callable[[str], str | None],
         cost: ControlCost,
         term_seconds: float = _TERM_SECONDS,
@@ -56,7 +55,7 @@
         self._name = name
         self._clock = clock
         self._clients = clients
-        self._membership_view = census
+        self._membership_view = membership
         self._address_of = address_of
         self._cost = cost
         self._term_seconds = term_seconds
@@ -65,7 +64,7 @@
         self._limiters_by_organisation: dict[str, LocalLimiter] = {}
         self._borrowed_at_by_organisation: dict[str, float] = {}
         self._grants_by_organisation: dict[str, Grant] = {}
-        self._lenders = LocalLenders(name, clock, census, cost, term_seconds)
+        self._lenders = LocalLenders(name, clock, membership, cost, term_seconds)
         self._borrow_locks_by_organisation: defaultdict[str, threading.Lock] = defaultdict(
             threading.Lock
         )
@@ -73,7 +72,7 @@
         self._stopped = False
 
     def configure(self, contracts: Iterable[Contract]) -> None:
-        """Take over the limits of the contracts in force."""
+        """Apply the limits of the contracts in force."""
         with self._lock:
             self._limits_by_organisation = {
                 contract.organisation: _allowance(contract) for contract in contracts
@@ -81,7 +80,7 @@
             self._lenders.configure(self._limits_by_organisation)
 
     def acquire(self, organisation: str, tokens: int) -> None:
-        """Take room for a request, or raise ``LimitExceededError``; it did not run then."""
+        """Admit a request, or raise ``LimitExceededError`` without running it."""
         self._borrow_if_idle(organisation, tokens)
         refusal = self._try_acquire(organisation, tokens, LocalLimiter.acquire)
         for _ in range(_MAX_BORROW_ATTEMPTS):
@@ -96,14 +95,14 @@
             retry_after=min(60.0, max(0.05, refusal.retry_after)),
         )
 
-    def release(self, organisation: str, estimated_tokens: int, real_tokens: int) -> None:
-        """Give a request's place back and correct its tokens."""
+    def release(self, organisation: str, estimated_tokens: int, actual_tokens: int) -> None:
+        """Release a request's slot and replace its estimated tokens by the actual number."""
         now = self._clock.monotonic()
         with self._lock:
-            self._limiter(organisation, now).release(estimated_tokens, real_tokens, now)
+            self._limiter(organisation, now).release(estimated_tokens, actual_tokens, now)
 
     def in_flight(self, organisation: str) -> int:
-        """Return how many requests of an organisation run here."""
+        """Return the number of an organisation's requests in flight on this daemon."""
         with self._lock:
             limiter = self._limiters_by_organisation.get(organisation)
             return 0 if limiter is None else limiter.in_flight
@@ -114,24 +113,23 @@
             return self._current_slice(organisation, self._clock.monotonic())
 
     def slices_lent(self, organisation: str) -> dict[str, Allowance]:
-        """Return what is lent from here, by daemon; nothing where another one lends."""
+        """Return the slices granted by this daemon, by borrower; empty for other lenders."""
         return self._lenders.slices_lent(organisation)
 
     def return_slices(self) -> None:
-        """Tell the lenders, once nothing runs here any more, that they may lend our slices anew.
+        """Return all slices to their lenders; call it when no more requests run.
 
-        Kept till the end of its term, the slice of each daemon that had gone took up to a third of
-        a limit from those that came in its place.
+        Otherwise the slices of a stopped daemon remain unavailable until their term ends.
         """
         with self._lock:
             self._stopped = True
-            held = [Demand(organisation=each) for each in self._grants_by_organisation]
+            demands = [Demand(organisation=each) for each in self._grants_by_organisation]
         calls = []
-        for lender, demands in self._group_by_lender(held).items():
+        for lender, lender_demands in self._group_by_lender(demands).items():
             address = None if lender == self._name else self._address_of(lender)
             if address is None:
                 continue
-            request = LendRequest(borrower=self._name, demands=demands, gives_back=True)
+            request = LendRequest(borrower=self._name, demands=lender_demands, gives_back=True)
             call = self._clients.stub(address).Lend.future(
                 request, timeout=_BLOCKING_CALL_TIMEOUT_SECONDS
             )
@@ -139,10 +137,12 @@
         for lender, call in calls:
             error = call.exception()
             if error is not None:
-                _logger.info("slices not given back", extra={"lender": lender, "error": str(error)})
+                _logger.info(
+                    "failed to return slices", extra={"lender": lender, "error": str(error)}
+                )
 
     def renew_slices(self) -> None:
-        """Ask the lenders of all active organisations for slices of the next term."""
+        """Request slices for the next term from the lenders of all active organisations."""
         if self._stopped:
             return
         for lender, demands in self._group_by_lender(self._demands()).items():
@@ -159,11 +159,11 @@
                 call.add_done_callback(self._handle_reply)
 
     def lend(self, request: LendRequest) -> LendReply:
-        """Return slices for a borrower."""
+        """Handle a borrower's request for slices."""
         return self._lenders.lend(request)
 
     def _group_by_lender(self, demands: Iterable[Demand]) -> dict[str, list[Demand]]:
-        """Return demands by the daemon that lends their organisation's limits."""
+        """Group demands by the lender of their organisation."""
         daemons = self._membership_view().live
         by_lender: dict[str, list[Demand]] = {}
         for demand in demands:
@@ -183,14 +183,14 @@
             return acquire(self._updated_limiter(organisation, now), tokens, now)
 
     def _borrow_if_idle(self, organisation: str, tokens: int) -> None:
-        """Ask the lender at once when an organisation that was idle here sends a request."""
+        """Borrow synchronously for an organisation that has no valid slice on this daemon."""
         now = self._clock.monotonic()
         with self._lock:
             grant = self._grants_by_organisation.get(organisation)
-            asked = self._borrowed_at_by_organisation.get(organisation, float("-inf"))
+            borrowed_at = self._borrowed_at_by_organisation.get(organisation, float("-inf"))
             if (
                 grant is not None and grant.expires > now
-            ) or now - asked < _FIRST_BORROW_INTERVAL_SECONDS:
+            ) or now - borrowed_at < _FIRST_BORROW_INTERVAL_SECONDS:
                 return
             self._borrowed_at_by_organisation[organisation] = now
         running = self.in_flight(organisation)
@@ -205,16 +205,15 @@
         )
 
     def _borrow_more(self, organisation: str, refusal: Refusal) -> bool:
-        """Ask for twice what is at hand before a caller is refused; return whether there is room.
+        """Request twice the current slice; return whether there is capacity now.
 
-        The slice follows its callers by one renewal a doubling otherwise: a newcomer refused most
-        of the callers that moved to it for a second or more while 400 of 1000 places were free.
+        Waiting for the next renewal would refuse requests while the limit has free capacity.
         """
         with self._lock:
-            asking = self._borrow_locks_by_organisation[organisation]
-        with asking:
+            borrow_lock = self._borrow_locks_by_organisation[organisation]
+        with borrow_lock:
             if self._has_capacity(organisation):
-                # Another thread that waited for the same answer has asked.
+                # Another thread has borrowed while this one waited for the lock.
                 return True
             now = self._clock.monotonic()
             with self._lock:
@@ -237,12 +236,12 @@
 
     def _doubled_demand(self, organisation: str, refusal: Refusal, now: float) -> Demand:
         limiter = self._limiter(organisation, now)
-        slice_ = self._current_slice(organisation, now)
+        allowance = self._current_slice(organisation, now)
         requests, tokens = limiter.demand.rates(now)
         if refusal.limit == "requests_per_second":
-            requests = max(requests, 2.0 * slice_.requests_per_second)
+            requests = max(requests, 2.0 * allowance.requests_per_second)
         if refusal.limit == "tokens_per_second":
-            tokens = max(tokens, 2.0 * slice_.tokens_per_second)
+            tokens = max(tokens, 2.0 * allowance.tokens_per_second)
         return Demand(
             organisation=organisation,
             requests_per_second=requests,
@@ -252,7 +251,7 @@
         )
 
     def _request_slice(self, demand: Demand) -> None:
-        """Ask the lender of an organisation for a slice and wait shortly for its answer."""
+        """Request a slice from an organisation's lender and wait briefly for the reply."""
         lender = lender_of(demand.organisation, self._membership_view().live)
         request = LendRequest(borrower=self._name, demands=[demand])
         if lender == self._name:
@@ -266,35 +265,35 @@
                 self._clients.stub(address).Lend(request, timeout=_BLOCKING_CALL_TIMEOUT_SECONDS)
             )
         except grpc.RpcError as error:
-            # The slice at hand, or the static one, decides; the next renewal asks again.
+            # Keep the current or static slice; the next renewal retries.
             _logger.info(
                 "lender did not answer",
                 extra={"organisation": demand.organisation, "lender": lender, "error": str(error)},
             )
 
     def _log_refusal(self, organisation: str, refusal: Refusal) -> None:
-        """Log what a refusal rests on: the slice, where it came from, its age, who lends."""
+        """Log a refusal with the slice in force, its source and age, and its lender."""
         now = self._clock.monotonic()
         with self._lock:
             grant = self._grants_by_organisation.get(organisation)
-            slice_ = self._current_slice(organisation, now)
+            allowance = self._current_slice(organisation, now)
             running = self._limiter(organisation, now).in_flight
         source = "static" if grant is None else "lent" if grant.expires > now else "lapsed"
         age = None if grant is None else round(now - grant.expires + self._term_seconds, 3)
-        census = self._membership_view()
+        membership = self._membership_view()
         _logger.info(
             "limit refused",
             extra={
                 "organisation": organisation,
                 "limit": refusal.limit,
                 "running": running,
-                "places": slice_.concurrency,
-                "requests_per_second": round(slice_.requests_per_second, 3),
+                "places": allowance.concurrency,
+                "requests_per_second": round(allowance.requests_per_second, 3),
                 "source": source,
                 "age_seconds": age,
-                "lender": lender_of(organisation, census.live),
-                "heard": len(census.live),
-                "known": len(census.known),
+                "lender": lender_of(organisation, membership.live),
+                "heard": len(membership.live),
+                "known": len(membership.known),
             },
         )
 
@@ -306,7 +305,7 @@
         return limiter
 
     def _updated_limiter(self, organisation: str, now: float) -> LocalLimiter:
-        """Return the limiter with the slice that is in force now."""
+        """Return the limiter after applying the slice in force."""
         limiter = self._limiter(organisation, now)
         limiter.set_allowance(self._current_slice(organisation, now), now)
         return limiter
@@ -327,15 +326,15 @@
         with self._lock:
             for organisation, limiter in self._limiters_by_organisation.items():
                 requests, tokens = limiter.demand.rates(now)
-                wanted = limiter.pop_concurrency_demand()
-                if requests < _MIN_ACTIVE_REQUESTS_PER_SECOND and wanted == 0:
+                concurrency = limiter.pop_concurrency_demand()
+                if requests < _MIN_ACTIVE_REQUESTS_PER_SECOND and concurrency == 0:
                     continue
                 demands.append(
                     Demand(
                         organisation=organisation,
                         requests_per_second=requests,
                         tokens_per_second=tokens,
-                        concurrency=wanted,
+                        concurrency=concurrency,
                         running=limiter.in_flight,
                     )
                 )
@@ -350,12 +349,12 @@
     def _apply_reply(self, reply: LendReply) -> None:
         now = self._clock.monotonic()
         with self._lock:
-            for lent in reply.slices:
+            for granted in reply.slices:
                 allowance = Allowance(
-                    lent.requests_per_second, lent.tokens_per_second, lent.concurrency
+                    granted.requests_per_second, granted.tokens_per_second, granted.concurrency
                 )
-                grant = Grant(allowance, now + lent.term_seconds)
-                self._grants_by_organisation[lent.organisation] = grant
-                limiter = self._limiter(lent.organisation, now)
+                grant = Grant(allowance, now + granted.term_seconds)
+                self._grants_by_organisation[granted.organisation] = grant
+                limiter = self._limiter(granted.organisation, now)
                 limiter.set_allowance(allowance, now)
-                limiter.add_burst(lent.burst_requests, lent.burst_tokens, now)
+                limiter.add_burst(granted.burst_requests, granted.burst_tokens, now)
