--- a/src/brassdrum/daemon/lenders.py
+++ b/src/brassdrum/daemon/lenders.py
@@ -1,4 +1,4 @@
-"""Lend slices of the limits of those organisations whose lender this daemon is."""
+"""Lend slices of the limits of the organisations that this daemon is the lender of."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 class LocalLenders:
-    """Keep a lender for each organisation that daemons ask this one for."""
+    """The lenders of organisations for which other daemons borrow from this one."""
 
     def __init__(
         self,
         name: str,
         clock: Clock,
-        census: Callable[[], MembershipView],
+        membership: Callable[[], MembershipView],
         cost: ControlCost,
         term_seconds: float,
     ) -> None:
         self._name = name
         self._clock = clock
-        self._census = census
+        self._membership = membership
         self._cost = cost
         self._term_seconds = term_seconds
         self._lock = threading.Lock()
@@ -39,7 +39,7 @@
         self._underallocated_borrowers: set[tuple[str, str]] = set()
 
     def configure(self, limits_by_organisation: Mapping[str, Allowance]) -> None:
-        """Take over the limits of the contracts in force."""
+        """Apply the limits of the contracts in force."""
         with self._lock:
             self._limits_by_organisation = dict(limits_by_organisation)
             for organisation, limits in limits_by_organisation.items():
@@ -48,15 +48,15 @@
                     lender.set_limits(limits)
 
     def slices_lent(self, organisation: str) -> dict[str, Allowance]:
-        """Return what is lent from here, by daemon; nothing where another one lends."""
+        """Return the slices granted by this daemon, by borrower; empty for other lenders."""
         with self._lock:
             lender = self._lenders_by_organisation.get(organisation)
             return {} if lender is None else lender.allowances_by_daemon(self._clock.monotonic())
 
     def lend(self, request: LendRequest) -> LendReply:
-        """Return slices for a borrower, none where it gives its slices back."""
+        """Grant the slices that a borrower requests, or take back the ones it returns."""
         now = self._clock.monotonic()
-        census = self._census()
+        membership = self._membership()
         reply = LendReply()
         if request.borrower != self._name:
             self._cost.add("limits", request.ByteSize())
@@ -68,8 +68,8 @@
                 if request.gives_back:
                     lender.return_slice(request.borrower)
                     continue
-                grant = lender.lend(request.borrower, _borrower_demand(demand), census, now)
-                self._log_allocation_change(demand, request.borrower, grant, census)
+                grant = lender.lend(request.borrower, _borrower_demand(demand), membership, now)
+                self._log_allocation_change(demand, request.borrower, grant, membership)
                 reply.slices.append(_slice_message(demand.organisation, grant, now))
         return reply
 
@@ -84,37 +84,37 @@
         return lender
 
     def _log_allocation_change(
-        self, demand: Demand, borrower: str, grant: Grant, census: MembershipView
+        self, demand: Demand, borrower: str, grant: Grant, membership: MembershipView
     ) -> None:
-        """Log when a borrower begins or ceases to be lent fewer places than it asks for."""
+        """Log when a borrower starts or stops being granted fewer slots than it requests."""
         key = (demand.organisation, borrower)
-        short = grant.allowance.concurrency < demand.concurrency
-        if short == (key in self._underallocated_borrowers):
+        underallocated = grant.allowance.concurrency < demand.concurrency
+        if underallocated == (key in self._underallocated_borrowers):
             return
-        if short:
+        if underallocated:
             self._underallocated_borrowers.add(key)
         else:
             self._underallocated_borrowers.discard(key)
         _logger.info(
-            "slice short" if short else "slice whole",
+            "slice short" if underallocated else "slice whole",
             extra={
                 "organisation": demand.organisation,
                 "borrower": borrower,
                 "asked": demand.concurrency,
                 "running": demand.running,
                 "lent": grant.allowance.concurrency,
-                "heard": len(census.live),
-                "known": len(census.known),
+                "heard": len(membership.live),
+                "known": len(membership.known),
             },
         )
 
 
-def _borrower_demand(told: Demand) -> BorrowerDemand:
+def _borrower_demand(message: Demand) -> BorrowerDemand:
     return BorrowerDemand(
-        told.requests_per_second,
-        told.tokens_per_second,
-        told.concurrency,
-        told.running if told.HasField("running") else None,
+        message.requests_per_second,
+        message.tokens_per_second,
+        message.concurrency,
+        message.running if message.HasField("running") else None,
     )
 
 
