--- a/src/brassdrum/daemon/sharing.py
+++ b/src/brassdrum/daemon/sharing.py
@@ -1,4 +1,4 @@
-"""Tell other daemons of endpoints and work, and take in what they tell."""
+"""Exchange endpoint state and load with other daemons through gossip."""
 
 from __future__ import annotations
 
@@ -36,12 +36,14 @@
     return loads
 
 
-def _apply_report(fleet: Fleet, told: EndpointReport, heard: float) -> None:
-    state = fleet.states_by_name.get(told.endpoint)
-    at = heard - told.age_milliseconds / 1000
-    if state is None or (state.report is not None and state.report.at >= at):
+def _apply_report(fleet: Fleet, report: EndpointReport, received_at: float) -> None:
+    state = fleet.states_by_name.get(report.endpoint)
+    observed_at = received_at - report.age_milliseconds / 1000
+    if state is None or (state.report is not None and state.report.at >= observed_at):
         return
-    state.report = LoadReport(at, told.streams, told.queued_tokens, told.kv_tokens_held)
+    state.report = LoadReport(
+        observed_at, report.streams, report.queued_tokens, report.kv_tokens_held
+    )
 
 
 def _apply_loads(fleet: Fleet, entry: DaemonEntry, now: float) -> None:
@@ -57,7 +59,7 @@
 
 
 class EndpointGossip:
-    """Keep this daemon's picture of the endpoints and everybody else's in step."""
+    """Synchronises this daemon's view of the endpoints with that of its peers."""
 
     def __init__(
         self,
@@ -77,7 +79,7 @@
         self._observers = ObserverMap(name)
 
     def fill_entry(self, entry: DaemonEntry) -> None:
-        """Fill in what this daemon tells of endpoints in a round."""
+        """Fill this daemon's gossip entry with its endpoint state."""
         now = self._clock.monotonic()
         serving = self._serving()
         with self._dispatcher.lock:
@@ -96,7 +98,7 @@
         entry.failing_endpoints.extend(failing)
 
     def merge_entries(self, newer: list[DaemonEntry], long_loads: list[float]) -> None:
-        """Take in entries that are newer than known, and all live daemons' long load."""
+        """Apply newer entries of peers and the long-prompt load of all live daemons."""
         now = self._clock.monotonic()
         with self._dispatcher.lock:
             fleet = self._dispatcher.fleet
@@ -107,7 +109,7 @@
             self.mark_leaving()
 
     def mark_leaving(self) -> None:
-        """Stop new work to endpoints that any source says are leaving."""
+        """Stop sending new work to endpoints that any source reports as leaving."""
         leaving = self._own_leaving() | self._gossiped_leaving()
         with self._dispatcher.lock:
             for name, state in self._dispatcher.fleet.states_by_name.items():
@@ -116,7 +118,7 @@
                 state.leaving = name in leaving
 
     def poll_filter(self) -> Callable[[str], bool]:
-        """Return a test of whether this daemon asks an endpoint for its load."""
+        """Return a predicate that tells whether this daemon polls an endpoint."""
         serving = self._serving()
         return lambda endpoint: self._observers.observes(endpoint, serving)
 
