--- a/features/steps/lending_steps.py
+++ b/features/steps/lending_steps.py
@@ -266,19 +266,19 @@
     sys.setswitchinterval(1e-6)
     done = threading.Event()
 
-    def ask():
+    def query():
         answers = []
         while not done.is_set():
             answers.append(context.watch.daemon_names())
         return answers
 
     with ThreadPoolExecutor(1) as executor:
-        asking = executor.submit(ask)
+        querying = executor.submit(query)
         for number in range(times):
             context.hosts.names[3:] = ["d4"] if number % 2 else []
             context.watch.step()
         done.set()
-        context.answers = asking.result()
+        context.answers = querying.result()
 
 
 @then("every query returns the three permanent daemons")
@@ -363,11 +363,11 @@
         limiters = {name: LocalLimiter(Allowance(0.0, 0.0, 0), 0.0) for name in names}
         until = dict.fromkeys(names, 0.0)
         now, used = 0.0, 0
-        for number, pause, count, asks in uses:
+        for number, pause, count, renews in uses:
             now += pause
             name = names[number]
             limiter = limiters[name]
-            if asks or until[name] <= now:
+            if renews or until[name] <= now:
                 demand = BorrowerDemand(2.0 * count, 2e3 * count, count, limiter.in_flight)
                 grant = lender.lend(name, demand, MembershipView(names, names), now)
                 until[name] = grant.expires
