--- a/src/brassdrum/admission/limits.py
+++ b/src/brassdrum/admission/limits.py
@@ -1,4 +1,4 @@
-"""Hold one organisation's use on one daemon to its slice of the contract's limits."""
+"""Enforce one organisation's slice of the contract's limits on one daemon."""
 
 from __future__ import annotations
 
@@ -8,61 +8,61 @@
 __all__ = ["Allowance", "DemandMeter", "LocalLimiter", "Refusal", "TokenBucket"]
 
 _BURST_SECONDS = 1.0
-_DEMAND_HALF_LIFE = 1.0
-# Nobody knows when a place comes free; slices follow their callers within about a second.
+_DEMAND_HALF_LIFE_SECONDS = 1.0
+# Slices follow demand within about a second; the end of a request cannot be predicted.
 _CONCURRENCY_RETRY_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Allowance:
-    """Give rates per second and concurrency that may be used."""
+    """Permitted rates per second and concurrency."""
 
     requests_per_second: float
     tokens_per_second: float
     concurrency: int
 
-    def scaled(self, part: float) -> Allowance:
-        """Return a part of the allowance; concurrency is rounded down."""
+    def scaled(self, fraction: float) -> Allowance:
+        """Return a fraction of the allowance, with concurrency rounded down."""
         return Allowance(
-            self.requests_per_second * part,
-            self.tokens_per_second * part,
-            math.floor(self.concurrency * part + 1e-9),
+            self.requests_per_second * fraction,
+            self.tokens_per_second * fraction,
+            math.floor(self.concurrency * fraction + 1e-9),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Tell which limit refused and when to come back, in seconds."""
+    """The limit that was exceeded and the delay in seconds before a retry."""
 
     limit: str
     retry_after: float
 
 
 class TokenBucket:
-    """Fill at a rate; may be overdrawn by one taking, which later takings wait for."""
+    """Token bucket that one withdrawal may overdraw; later ones wait until it has refilled."""
 
     def __init__(self, rate: float, now: float) -> None:
         self._rate = rate
         self._level = rate * _BURST_SECONDS
-        self._at = now
+        self._updated_at = now
 
     def set_rate(self, rate: float, now: float) -> float:
-        """Change the rate and return what no longer fits; what has been overdrawn stays."""
-        self._fill(now)
+        """Change the rate and return the excess over the new capacity; a deficit remains."""
+        self._refill(now)
         self._rate = rate
-        over = max(0.0, self._level - self._depth())
-        self._level -= over
-        return over
+        excess = max(0.0, self._level - self._capacity())
+        self._level -= excess
+        return excess
 
     def empty(self, now: float) -> None:
-        """Take all that is left."""
-        self._fill(now)
+        """Discard the remaining tokens."""
+        self._refill(now)
         self._level = min(self._level, 0.0)
 
-    def wait(self, now: float, amount: float = 0.0) -> float:
-        """Return the seconds until something may be taken, 0 for now."""
-        self._fill(now)
-        missing = min(amount, self._depth()) - self._level
+    def wait_seconds(self, now: float, amount: float = 0.0) -> float:
+        """Return the seconds until a withdrawal is permitted; 0 if it is now."""
+        self._refill(now)
+        missing = min(amount, self._capacity()) - self._level
         if missing <= 0 and self._level > 0:
             return 0.0
         if self._rate <= 0:
@@ -70,48 +70,48 @@
         return max(missing, -self._level + 1e-9) / self._rate
 
     def take(self, amount: float, now: float) -> None:
-        """Take an amount; a negative one gives back."""
-        self._fill(now)
-        self._level = min(self._level - amount, self._depth())
+        """Withdraw an amount; a negative one is a deposit."""
+        self._refill(now)
+        self._level = min(self._level - amount, self._capacity())
 
-    def _depth(self) -> float:
+    def _capacity(self) -> float:
         return max(1.0, self._rate * _BURST_SECONDS)
 
-    def _fill(self, now: float) -> None:
-        elapsed = max(0.0, now - self._at)
-        self._at = now
-        self._level = min(self._depth(), self._level + elapsed * self._rate)
+    def _refill(self, now: float) -> None:
+        elapsed = max(0.0, now - self._updated_at)
+        self._updated_at = now
+        self._level = min(self._capacity(), self._level + elapsed * self._rate)
 
 
 class DemandMeter:
-    """Measure what callers ask for, refused or not, with older demand fading."""
+    """Exponentially decaying rates of requested work, refused requests included."""
 
-    def __init__(self, now: float, half_life: float = _DEMAND_HALF_LIFE) -> None:
-        self._half_life = half_life
-        self._at = now
+    def __init__(self, now: float, half_life_seconds: float = _DEMAND_HALF_LIFE_SECONDS) -> None:
+        self._half_life_seconds = half_life_seconds
+        self._updated_at = now
         self._requests = 0.0
         self._tokens = 0.0
 
     def add(self, tokens: float, now: float) -> None:
-        """Count one request."""
-        self._fade(now)
-        self._requests += math.log(2) / self._half_life
-        self._tokens += tokens * math.log(2) / self._half_life
+        """Record one request."""
+        self._decay(now)
+        self._requests += math.log(2) / self._half_life_seconds
+        self._tokens += tokens * math.log(2) / self._half_life_seconds
 
     def rates(self, now: float) -> tuple[float, float]:
-        """Return requests and tokens per second."""
-        self._fade(now)
+        """Return the rates as requests and tokens per second."""
+        self._decay(now)
         return self._requests, self._tokens
 
-    def _fade(self, now: float) -> None:
-        factor = 0.5 ** (max(0.0, now - self._at) / self._half_life)
-        self._at = now
+    def _decay(self, now: float) -> None:
+        factor = 0.5 ** (max(0.0, now - self._updated_at) / self._half_life_seconds)
+        self._updated_at = now
         self._requests *= factor
         self._tokens *= factor
 
 
 class LocalLimiter:
-    """Admit or refuse one organisation's requests on this daemon."""
+    """Limits one organisation's requests on this daemon."""
 
     def __init__(self, allowance: Allowance, now: float) -> None:
         self._allowance = allowance
@@ -119,16 +119,16 @@
         self._tokens = TokenBucket(allowance.tokens_per_second, now)
         self.demand = DemandMeter(now)
         self.in_flight = 0
-        self.most_in_flight = 0
-        self.refused_for_concurrency = 0
+        self.peak_in_flight = 0
+        self.concurrency_refusals = 0
 
     @property
     def allowance(self) -> Allowance:
-        """Return the slice in force."""
+        """The slice in force."""
         return self._allowance
 
     def set_allowance(self, allowance: Allowance, now: float) -> None:
-        """Change the slice."""
+        """Replace the slice in force."""
         if allowance == self._allowance:
             return
         self._allowance = allowance
@@ -136,50 +136,49 @@
         self._tokens.set_rate(allowance.tokens_per_second, now)
 
     def add_burst(self, requests: float, tokens: float, now: float) -> None:
-        """Take over the unused burst of a part of the limits that came to this daemon."""
+        """Add unused burst that was transferred with a granted rate."""
         self._requests.take(-requests, now)
         self._tokens.take(-tokens, now)
 
     def acquire(self, tokens: int, now: float) -> Refusal | None:
-        """Take room for a request, or return why there is none."""
+        """Admit a request, or return the limit that refuses it."""
         self.demand.add(tokens, now)
-        return self.acquire_again(tokens, now)
+        return self.retry_acquire(tokens, now)
 
-    def acquire_again(self, tokens: int, now: float) -> Refusal | None:
-        """Try once more for a request that is counted as demand already."""
+    def retry_acquire(self, tokens: int, now: float) -> Refusal | None:
+        """Retry a request without counting it as demand again."""
         refusal = self.refusal(now)
         if refusal is not None:
             if refusal.limit == "concurrency":
-                self.refused_for_concurrency += 1
+                self.concurrency_refusals += 1
             return refusal
         self._requests.take(1.0, now)
         self._tokens.take(tokens, now)
         self.in_flight += 1
-        self.most_in_flight = max(self.most_in_flight, self.in_flight)
+        self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
         return None
 
     def refusal(self, now: float) -> Refusal | None:
-        """Return why there is no room for a request now, or None."""
+        """Return the limit that would refuse a request now, or None."""
         if self.in_flight >= self._allowance.concurrency:
             return Refusal("concurrency", _CONCURRENCY_RETRY_SECONDS)
-        wait = self._requests.wait(now, 1.0)
+        wait = self._requests.wait_seconds(now, 1.0)
         if wait > 0:
             return Refusal("requests_per_second", wait)
-        wait = self._tokens.wait(now)
+        wait = self._tokens.wait_seconds(now)
         return Refusal("tokens_per_second", wait) if wait > 0 else None
 
-    def release(self, estimated_tokens: int, real_tokens: int, now: float) -> None:
-        """Give the request's place back and correct its tokens by what it really used."""
+    def release(self, estimated_tokens: int, actual_tokens: int, now: float) -> None:
+        """Release a request's slot and replace its estimated tokens by the actual number."""
         self.in_flight = max(0, self.in_flight - 1)
-        self._tokens.take(real_tokens - estimated_tokens, now)
+        self._tokens.take(actual_tokens - estimated_tokens, now)
 
-    def wanted_concurrency(self) -> int:
-        """Return how many requests would have run at once, since last asked, if nothing held them.
+    def pop_concurrency_demand(self) -> int:
+        """Return the peak concurrency demanded since the last call, and reset it.
 
-        The most that ran counts, not what runs now: a daemon that asked between two requests was
-        lent 8 places of 30 where the two others, as busy, got 9 and 11.
+        Uses the peak, because the number in flight may be low at the moment of a renewal.
         """
-        wanted = self.most_in_flight + min(self.refused_for_concurrency, self.most_in_flight + 1)
-        self.refused_for_concurrency = 0
-        self.most_in_flight = self.in_flight
-        return wanted
+        demand = self.peak_in_flight + min(self.concurrency_refusals, self.peak_in_flight + 1)
+        self.concurrency_refusals = 0
+        self.peak_in_flight = self.in_flight
+        return demand
--- a/src/brassdrum/admission/work.py
+++ b/src/brassdrum/admission/work.py
@@ -1,4 +1,4 @@
-"""Describe one admitted request to the decisions that queue and route it."""
+"""The properties of an admitted request that queueing and routing use."""
 
 from __future__ import annotations
 
@@ -7,44 +7,44 @@
 
 from brassdrum.contracts.documents import Urgency
 
-__all__ = ["LengthBand", "Work", "band_of", "is_service", "service_target"]
+__all__ = ["LengthBand", "Work", "is_service_target", "length_band", "service_target"]
 
-_SHORT_TOKENS = 4_000
-_LONG_TOKENS = 100_000
-_DECODE_WEIGHT = 4
+_MEDIUM_MIN_TOKENS = 4_000
+_MEDIUM_MAX_TOKENS = 100_000
+_DECODE_TOKEN_COST = 4
 _SERVICE_PREFIX = "service:"
 
 
 class LengthBand(StrEnum):
-    """Sort requests by prompt length; bands never wait behind each other."""
+    """Size class of a prompt; requests of different bands do not block each other."""
 
     SHORT = "short"
     MEDIUM = "medium"
     LONG = "long"
 
 
-def band_of(tokens: int) -> LengthBand:
-    """Return the band of a prompt length in tokens."""
-    if tokens < _SHORT_TOKENS:
+def length_band(tokens: int) -> LengthBand:
+    """Return the band of a prompt with the given number of tokens."""
+    if tokens < _MEDIUM_MIN_TOKENS:
         return LengthBand.SHORT
-    if tokens <= _LONG_TOKENS:
+    if tokens <= _MEDIUM_MAX_TOKENS:
         return LengthBand.MEDIUM
     return LengthBand.LONG
 
 
 def service_target(service: str) -> str:
-    """Return the target name under which a plain service's work is queued."""
+    """Return the queueing target of a plain service."""
     return f"{_SERVICE_PREFIX}{service}"
 
 
-def is_service(target: str) -> bool:
-    """Return whether a target names a plain service."""
+def is_service_target(target: str) -> bool:
+    """Return whether a target is a plain service."""
     return target.startswith(_SERVICE_PREFIX)
 
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """Hold what the decisions need to know; times are monotonic seconds."""
+    """An admitted request; times are in seconds of the monotonic clock."""
 
     id: str
     organisation: str
@@ -57,19 +57,19 @@
     start_by: float
     deadline: float
     blocks: tuple[int, ...] = ()
-    avoid: frozenset[str] = frozenset()
+    excluded_endpoints: frozenset[str] = frozenset()
 
     @property
     def band(self) -> LengthBand:
-        """Return the length band."""
-        return band_of(self.prompt_tokens)
+        """Length band of the prompt."""
+        return length_band(self.prompt_tokens)
 
     @property
     def cost(self) -> int:
-        """Return the work in prefill-token units; a decoded token weighs several prefilled."""
-        return self.prompt_tokens + _DECODE_WEIGHT * self.answer_tokens
+        """Cost in prefill tokens; a decoded token costs several of them."""
+        return self.prompt_tokens + _DECODE_TOKEN_COST * self.answer_tokens
 
     @property
     def kv_tokens(self) -> int:
-        """Return the most memory that the request takes at an engine."""
+        """Maximum KV cache usage at an engine, in tokens."""
         return self.prompt_tokens + self.answer_tokens
--- a/src/brassdrum/daemon/lenders.py
+++ b/src/brassdrum/daemon/lenders.py
@@ -1,4 +1,4 @@
-"""Lend slices of the limits of those organisations whose lender this daemon is."""
+"""Lend slices of the limits of the organisations that this daemon is the lender of."""
 
 from __future__ import annotations
 
@@ -6,57 +6,57 @@
 import threading
 from collections.abc import Callable, Mapping
 
-from brassdrum.admission.lending import BorrowerDemand, Census, Grant, Lender
+from brassdrum.admission.lending import BorrowerDemand, Grant, Lender, MembershipView
 from brassdrum.admission.limits import Allowance
 from brassdrum.clock import Clock
 from brassdrum.membership.peer_pb2 import Demand, LendReply, LendRequest, Slice
 from brassdrum.telemetry.control_cost import ControlCost
 
-__all__ = ["LendersHere"]
+__all__ = ["LocalLenders"]
 
 _logger = logging.getLogger(__name__)
 
 
-class LendersHere:
-    """Keep a lender for each organisation that daemons ask this one for."""
+class LocalLenders:
+    """The lenders of organisations for which other daemons borrow from this one."""
 
     def __init__(
         self,
         name: str,
         clock: Clock,
-        census: Callable[[], Census],
+        membership: Callable[[], MembershipView],
         cost: ControlCost,
         term_seconds: float,
     ) -> None:
         self._name = name
         self._clock = clock
-        self._census = census
+        self._membership = membership
         self._cost = cost
-        self._term = term_seconds
+        self._term_seconds = term_seconds
         self._lock = threading.Lock()
         self._limits_by_organisation: dict[str, Allowance] = {}
-        self._by_organisation: dict[str, Lender] = {}
-        self._short_borrowers: set[tuple[str, str]] = set()
+        self._lenders_by_organisation: dict[str, Lender] = {}
+        self._underallocated_borrowers: set[tuple[str, str]] = set()
 
     def configure(self, limits_by_organisation: Mapping[str, Allowance]) -> None:
-        """Take over the limits of the contracts in force."""
+        """Apply the limits of the contracts in force."""
         with self._lock:
             self._limits_by_organisation = dict(limits_by_organisation)
             for organisation, limits in limits_by_organisation.items():
-                lender = self._by_organisation.get(organisation)
+                lender = self._lenders_by_organisation.get(organisation)
                 if lender is not None:
                     lender.set_limits(limits)
 
-    def lent(self, organisation: str) -> dict[str, Allowance]:
-        """Return what is lent from here, by daemon; nothing where another one lends."""
+    def slices_lent(self, organisation: str) -> dict[str, Allowance]:
+        """Return the slices granted by this daemon, by borrower; empty for other lenders."""
         with self._lock:
-            lender = self._by_organisation.get(organisation)
-            return {} if lender is None else lender.holders(self._clock.monotonic())
+            lender = self._lenders_by_organisation.get(organisation)
+            return {} if lender is None else lender.allowances_by_daemon(self._clock.monotonic())
 
     def lend(self, request: LendRequest) -> LendReply:
-        """Return slices for a borrower, none where it gives its slices back."""
+        """Grant the slices that a borrower requests, or take back the ones it returns."""
         now = self._clock.monotonic()
-        census = self._census()
+        membership = self._membership()
         reply = LendReply()
         if request.borrower != self._name:
             self._cost.add("limits", request.ByteSize())
@@ -66,57 +66,59 @@
                 if lender is None:
                     continue
                 if request.gives_back:
-                    lender.give_back(request.borrower)
+                    lender.return_slice(request.borrower)
                     continue
-                grant = lender.lend(request.borrower, _demand(demand), census, now)
-                self._note_short(demand, request.borrower, grant, census)
-                reply.slices.append(_slice(demand.organisation, grant, now))
+                grant = lender.lend(request.borrower, _borrower_demand(demand), membership, now)
+                self._log_allocation_change(demand, request.borrower, grant, membership)
+                reply.slices.append(_slice_message(demand.organisation, grant, now))
         return reply
 
     def _lender(self, organisation: str, now: float) -> Lender | None:
         limits = self._limits_by_organisation.get(organisation)
         if limits is None:
             return None
-        lender = self._by_organisation.get(organisation)
+        lender = self._lenders_by_organisation.get(organisation)
         if lender is None:
-            lender = Lender(limits, self._term, now)
-            self._by_organisation[organisation] = lender
+            lender = Lender(limits, self._term_seconds, now)
+            self._lenders_by_organisation[organisation] = lender
         return lender
 
-    def _note_short(self, demand: Demand, borrower: str, grant: Grant, census: Census) -> None:
-        """Log when a borrower begins or ceases to be lent fewer places than it asks for."""
+    def _log_allocation_change(
+        self, demand: Demand, borrower: str, grant: Grant, membership: MembershipView
+    ) -> None:
+        """Log when a borrower starts or stops being granted fewer slots than it requests."""
         key = (demand.organisation, borrower)
-        short = grant.allowance.concurrency < demand.concurrency
-        if short == (key in self._short_borrowers):
+        underallocated = grant.allowance.concurrency < demand.concurrency
+        if underallocated == (key in self._underallocated_borrowers):
             return
-        if short:
-            self._short_borrowers.add(key)
+        if underallocated:
+            self._underallocated_borrowers.add(key)
         else:
-            self._short_borrowers.discard(key)
+            self._underallocated_borrowers.discard(key)
         _logger.info(
-            "slice short" if short else "slice whole",
+            "slice short" if underallocated else "slice whole",
             extra={
                 "organisation": demand.organisation,
                 "borrower": borrower,
                 "asked": demand.concurrency,
                 "running": demand.running,
                 "lent": grant.allowance.concurrency,
-                "heard": len(census.live),
-                "known": len(census.known),
+                "heard": len(membership.live),
+                "known": len(membership.known),
             },
         )
 
 
-def _demand(told: Demand) -> BorrowerDemand:
+def _borrower_demand(message: Demand) -> BorrowerDemand:
     return BorrowerDemand(
-        told.requests_per_second,
-        told.tokens_per_second,
-        told.concurrency,
-        told.running if told.HasField("running") else None,
+        message.requests_per_second,
+        message.tokens_per_second,
+        message.concurrency,
+        message.running if message.HasField("running") else None,
     )
 
 
-def _slice(organisation: str, grant: Grant, now: float) -> Slice:
+def _slice_message(organisation: str, grant: Grant, now: float) -> Slice:
     return Slice(
         organisation=organisation,
         requests_per_second=grant.allowance.requests_per_second,
--- a/src/brassdrum/daemon/sharing.py
+++ b/src/brassdrum/daemon/sharing.py
@@ -1,4 +1,4 @@
-"""Tell other daemons of endpoints and work, and take in what they tell."""
+"""Exchange endpoint state and load with other daemons through gossip."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from brassdrum.membership.peer_pb2 import DaemonEntry, EndpointLoad, EndpointReport
 from brassdrum.routing.state import LoadReport, PeerLoad
 
-__all__ = ["EndpointSharing"]
+__all__ = ["EndpointGossip"]
 
 
 def _own_loads(fleet: Fleet, *, long_only: bool) -> list[EndpointLoad]:
@@ -36,15 +36,17 @@
     return loads
 
 
-def _take_report(fleet: Fleet, told: EndpointReport, heard: float) -> None:
-    state = fleet.states_by_name.get(told.endpoint)
-    at = heard - told.age_milliseconds / 1000
-    if state is None or (state.report is not None and state.report.at >= at):
+def _apply_report(fleet: Fleet, report: EndpointReport, received_at: float) -> None:
+    state = fleet.states_by_name.get(report.endpoint)
+    observed_at = received_at - report.age_milliseconds / 1000
+    if state is None or (state.report is not None and state.report.at >= observed_at):
         return
-    state.report = LoadReport(at, told.streams, told.queued_tokens, told.kv_tokens_held)
+    state.report = LoadReport(
+        observed_at, report.streams, report.queued_tokens, report.kv_tokens_held
+    )
 
 
-def _take_loads(fleet: Fleet, entry: DaemonEntry, now: float) -> None:
+def _apply_loads(fleet: Fleet, entry: DaemonEntry, now: float) -> None:
     fleet.drop_peer_loads(entry.name, {load.endpoint for load in entry.loads})
     for load in entry.loads:
         fleet.take_peer_load(
@@ -53,11 +55,11 @@
             PeerLoad(now, load.streams, load.queued_tokens, load.long_prefills),
         )
     for report in entry.reports:
-        _take_report(fleet, report, now)
+        _apply_report(fleet, report, now)
 
 
-class EndpointSharing:
-    """Keep this daemon's picture of the endpoints and everybody else's in step."""
+class EndpointGossip:
+    """Synchronises this daemon's view of the endpoints with that of its peers."""
 
     def __init__(
         self,
@@ -76,8 +78,8 @@
         self._reports = ReportSharing()
         self._observers = ObserverMap(name)
 
-    def describe(self, entry: DaemonEntry) -> None:
-        """Fill in what this daemon tells of endpoints in a round."""
+    def fill_entry(self, entry: DaemonEntry) -> None:
+        """Fill this daemon's gossip entry with its endpoint state."""
         now = self._clock.monotonic()
         serving = self._serving()
         with self._dispatcher.lock:
@@ -95,19 +97,19 @@
         del entry.failing_endpoints[:]
         entry.failing_endpoints.extend(failing)
 
-    def take(self, newer: list[DaemonEntry], long_loads: list[float]) -> None:
-        """Take in entries that are newer than known, and all live daemons' long load."""
+    def merge_entries(self, newer: list[DaemonEntry], long_loads: list[float]) -> None:
+        """Apply newer entries of peers and the long-prompt load of all live daemons."""
         now = self._clock.monotonic()
         with self._dispatcher.lock:
             fleet = self._dispatcher.fleet
             for entry in newer:
-                _take_loads(fleet, entry, now)
+                _apply_loads(fleet, entry, now)
             fleet.peers_long_load = sum(long_loads)
         if any(entry.leaving_endpoints for entry in newer):
             self.mark_leaving()
 
     def mark_leaving(self) -> None:
-        """Stop new work to endpoints that any source says are leaving."""
+        """Stop sending new work to endpoints that any source reports as leaving."""
         leaving = self._own_leaving() | self._gossiped_leaving()
         with self._dispatcher.lock:
             for name, state in self._dispatcher.fleet.states_by_name.items():
@@ -115,8 +117,8 @@
                     state.since = self._clock.monotonic()
                 state.leaving = name in leaving
 
-    def observed(self) -> Callable[[str], bool]:
-        """Return a test of whether this daemon asks an endpoint for its load."""
+    def poll_filter(self) -> Callable[[str], bool]:
+        """Return a predicate that tells whether this daemon polls an endpoint."""
         serving = self._serving()
         return lambda endpoint: self._observers.observes(endpoint, serving)
 
