--- a/src/brassdrum/gateway/net/__init__.py
+++ b/src/brassdrum/gateway/net/__init__.py
@@ -1,1 +1,1 @@
-"""Listen, connect and wait: the event loop and all sockets of a gateway."""
+"""Event loop, sockets and HTTP/1.1 connections of the gateway."""
--- a/src/brassdrum/gateway/net/loop.py
+++ b/src/brassdrum/gateway/net/loop.py
@@ -1,4 +1,4 @@
-"""Run sockets and timers in one thread; other threads post work to it."""
+"""A single-threaded event loop for sockets and timers."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 __all__ = ["EventLoop", "Timer", "Timers"]
 
 _logger = logging.getLogger(__name__)
-# The longest sleep without any timer; bounds how late a lost wake-up is noticed.
-_LONGEST_WAIT_SECONDS = 1.0
+# Bounds the delay after a missed wake-up.
+_MAX_WAIT_SECONDS = 1.0
 
-Ready = Callable[[int], None]
+ReadyCallback = Callable[[int], None]
 
 
 class Timer:
-    """Call a function once at a time unless it is cancelled."""
+    """A callback scheduled for one point in time; it can be cancelled."""
 
     __slots__ = ("callback", "when")
 
@@ -32,41 +32,41 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Do not call the function."""
+        """Cancel the callback."""
         self.callback = None
 
 
 class Timers(Protocol):
-    """Tell the time and call functions later, in real time or in a simulated one."""
+    """A clock that schedules callbacks, in real or simulated time."""
 
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return the current monotonic time in seconds."""
 
     def call_later(self, seconds: float, callback: Callable[[], None]) -> Timer:
-        """Call a function after a number of seconds."""
+        """Schedule a callback after a delay."""
 
 
 class EventLoop:
-    """Wait for sockets and timers; only ``post`` and ``stop`` may be called by other threads."""
+    """Dispatches socket events and timers; only ``post`` and ``stop`` are thread-safe."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self._selector = selectors.DefaultSelector()
         self._timers: list[tuple[float, int, Timer]] = []
         self._sequence = itertools.count()
-        self._posted: deque[Callable[[], None]] = deque()
-        self._waker, self._woken = socket.socketpair()
-        self._waker.setblocking(False)
-        self._woken.setblocking(False)
-        self._selector.register(self._woken, selectors.EVENT_READ, self._drain_wakes)
+        self._posted_callbacks: deque[Callable[[], None]] = deque()
+        self._wakeup_writer, self._wakeup_reader = socket.socketpair()
+        self._wakeup_writer.setblocking(False)
+        self._wakeup_reader.setblocking(False)
+        self._selector.register(self._wakeup_reader, selectors.EVENT_READ, self._drain_wakeups)
         self._running = False
 
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return the current monotonic time in seconds."""
         return self.clock.monotonic()
 
-    def watch(self, sock: socket.socket, events: int, ready: Ready) -> None:
-        """Call a function when a socket is ready for the events; replaces an earlier watch."""
+    def watch(self, sock: socket.socket, events: int, ready: ReadyCallback) -> None:
+        """Register a callback for events on a socket, replacing any previous one."""
         if sock.fileno() in self._selector.get_map():
             self._selector.modify(sock, events, ready)
         else:
@@ -78,66 +78,66 @@
             self._selector.unregister(sock)
 
     def call_at(self, when: float, callback: Callable[[], None]) -> Timer:
-        """Call a function at a monotonic time."""
+        """Schedule a callback at a monotonic time."""
         timer = Timer(when, callback)
         heapq.heappush(self._timers, (when, next(self._sequence), timer))
         return timer
 
     def call_later(self, seconds: float, callback: Callable[[], None]) -> Timer:
-        """Call a function after a number of seconds."""
+        """Schedule a callback after a delay."""
         return self.call_at(self.now() + seconds, callback)
 
     def post(self, callback: Callable[[], None]) -> None:
-        """Call a function in the loop's thread, as soon as it is free."""
-        self._posted.append(callback)
+        """Schedule a callback in the loop's thread, from any thread."""
+        self._posted_callbacks.append(callback)
         try:
-            self._waker.send(b"w")
+            self._wakeup_writer.send(b"w")
         except BlockingIOError:
-            pass  # The pipe is full of wake-ups already.
+            pass  # A wake-up is already pending.
 
     def run(self) -> None:
-        """Serve until ``stop``."""
+        """Run until ``stop`` is called."""
         self._running = True
         while self._running:
             self._run_once()
 
     def stop(self) -> None:
-        """End ``run`` soon."""
-        self.post(self._end)
+        """Make ``run`` return after the current iteration."""
+        self.post(self._clear_running)
 
-    def _end(self) -> None:
+    def _clear_running(self) -> None:
         self._running = False
 
     def _run_once(self) -> None:
-        for key, events in self._selector.select(self._wait()):
-            self._guard(lambda ready=key.data, mask=events: ready(mask))
-        while self._posted:
-            self._guard(self._posted.popleft())
+        for key, events in self._selector.select(self._select_timeout()):
+            self._run_callback(lambda ready=key.data, mask=events: ready(mask))
+        while self._posted_callbacks:
+            self._run_callback(self._posted_callbacks.popleft())
         now = self.now()
         while self._timers and self._timers[0][0] <= now:
             timer = heapq.heappop(self._timers)[2]
             if timer.callback is not None:
-                self._guard(timer.callback)
+                self._run_callback(timer.callback)
 
-    def _wait(self) -> float:
-        if self._posted:
+    def _select_timeout(self) -> float:
+        if self._posted_callbacks:
             return 0.0
         while self._timers and self._timers[0][2].callback is None:
             heapq.heappop(self._timers)
         if not self._timers:
-            return _LONGEST_WAIT_SECONDS
-        return min(_LONGEST_WAIT_SECONDS, max(0.0, self._timers[0][0] - self.now()))
+            return _MAX_WAIT_SECONDS
+        return min(_MAX_WAIT_SECONDS, max(0.0, self._timers[0][0] - self.now()))
 
-    def _guard(self, callback: Callable[[], None]) -> None:
+    def _run_callback(self, callback: Callable[[], None]) -> None:
         try:
             callback()
         except Exception:
-            # One request's defect must not end the other requests of this daemon.
+            # An error in one request must not affect the others.
             _logger.exception("event handler failed")
 
-    def _drain_wakes(self, _events: int) -> None:
+    def _drain_wakeups(self, _events: int) -> None:
         try:
-            while self._woken.recv(4096):
+            while self._wakeup_reader.recv(4096):
                 pass
         except BlockingIOError:
-            pass  # All wake-ups are read.
+            pass  # The socket has been drained.
