--- a/src/brassdrum/gateway/net/transport.py
+++ b/src/brassdrum/gateway/net/transport.py
@@ -1,4 +1,4 @@
-"""Read and write one non-blocking TCP connection from the event loop."""
+"""A non-blocking TCP connection driven by the event loop."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 __all__ = ["Transport", "TransportOwner"]
 
-_READ_BYTES = 65536
+_READ_SIZE_BYTES = 65536
 
 
 class TransportOwner(Protocol):
-    """Be told what happens on a connection."""
+    """Callbacks for the events of a connection."""
 
     def received(self, data: bytes) -> None:
-        """Take bytes; none means that the other side ended its half."""
+        """Handle received data; empty data means that the peer has sent EOF."""
 
     def lost(self, error: OSError) -> None:
-        """Learn that the connection broke; it is closed already."""
+        """Handle a connection error; the transport is already closed."""
 
     def connected(self) -> None:
-        """Learn that an outgoing connection is established."""
+        """Handle the establishment of an outgoing connection."""
 
 
 class Transport:
-    """Buffer writes and report reads of one connection."""
+    """A TCP socket with a write buffer that reports its events to an owner."""
 
     def __init__(
         self,
@@ -40,74 +40,74 @@
         self._loop = loop
         self._socket = sock
         self._owner = owner
-        self._buffer = bytearray()
+        self._write_buffer = bytearray()
         self._connecting = connecting
         self._close_when_sent = False
         self.closed = False
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._watch()
+        self._update_events()
 
     def bound_acknowledgement(self, seconds: float) -> None:
-        """Break the connection when bytes that were sent stay unacknowledged for this long."""
+        """Set how long sent data may stay unacknowledged before the connection fails."""
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(seconds * 1000))
 
     @property
     def backlog(self) -> int:
-        """Return the bytes that the other side has not taken yet."""
-        return len(self._buffer)
+        """Return the number of bytes waiting to be written to the socket."""
+        return len(self._write_buffer)
 
     def write(self, data: bytes) -> None:
-        """Send bytes now or when the other side takes them."""
+        """Write data, buffering what the socket does not accept yet."""
         if self.closed:
             return
-        if not self._buffer and not self._connecting:
+        if not self._write_buffer and not self._connecting:
             try:
                 data = data[self._socket.send(data) :]
             except BlockingIOError:
-                pass  # All of it waits for the socket.
+                pass  # All of it is buffered below.
             except OSError as error:
-                # Told later: the owner is in the middle of its own step now.
-                broken = error
-                self._loop.post(lambda: self._break(broken))
+                # Reported from the loop because the owner is still in its call to write().
+                connection_error = error
+                self._loop.post(lambda: self._fail(connection_error))
                 return
         if data:
-            self._buffer += data
-            self._watch()
+            self._write_buffer += data
+            self._update_events()
 
     def close_when_sent(self) -> None:
-        """Close once all bytes are handed to the kernel."""
+        """Close the connection once the write buffer is empty."""
         self._close_when_sent = True
-        if not self._buffer:
+        if not self._write_buffer:
             self.close()
 
     def close(self) -> None:
-        """Close now."""
+        """Close the connection immediately; buffered data is discarded."""
         if self.closed:
             return
         self.closed = True
         self._loop.unwatch(self._socket)
         self._socket.close()
 
-    def _watch(self) -> None:
+    def _update_events(self) -> None:
         events = selectors.EVENT_READ
-        if self._connecting or self._buffer:
+        if self._connecting or self._write_buffer:
             events |= selectors.EVENT_WRITE
-        self._loop.watch(self._socket, events, self._ready)
+        self._loop.watch(self._socket, events, self._on_ready)
 
-    def _ready(self, events: int) -> None:
+    def _on_ready(self, events: int) -> None:
         if self._connecting:
-            self._finish_connecting()
+            self._finish_connect()
             return
         if events & selectors.EVENT_WRITE:
             self._flush()
         if events & selectors.EVENT_READ and not self.closed:
             self._read()
 
-    def _finish_connecting(self) -> None:
+    def _finish_connect(self) -> None:
         code = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
-            self._break(OSError(code, "connect failed"))
+            self._fail(OSError(code, "connect failed"))
             return
         self._connecting = False
         self._owner.connected()
@@ -116,30 +116,30 @@
 
     def _flush(self) -> None:
         try:
-            del self._buffer[: self._socket.send(self._buffer)]
+            del self._write_buffer[: self._socket.send(self._write_buffer)]
         except BlockingIOError:
             return
         except OSError as error:
-            self._break(error)
+            self._fail(error)
             return
-        if self._buffer:
+        if self._write_buffer:
             return
         if self._close_when_sent:
             self.close()
             return
-        self._watch()
+        self._update_events()
 
     def _read(self) -> None:
         try:
-            data = self._socket.recv(_READ_BYTES)
+            data = self._socket.recv(_READ_SIZE_BYTES)
         except BlockingIOError:
             return
         except OSError as error:
-            self._break(error)
+            self._fail(error)
             return
         self._owner.received(data)
 
-    def _break(self, error: OSError) -> None:
+    def _fail(self, error: OSError) -> None:
         if self.closed:
             return
         self.close()
