--- a/src/brassdrum/gateway/net/datagrams.py
+++ b/src/brassdrum/gateway/net/datagrams.py
@@ -1,4 +1,4 @@
-"""Send and receive datagrams between daemons."""
+"""UDP transport for messages between daemons."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 __all__ = ["DatagramSocket", "Datagrams"]
 
 _logger = logging.getLogger(__name__)
-_LARGEST_DATAGRAM = 65536
+_MAX_DATAGRAM_BYTES = 65536
 
 
 class Datagrams(Protocol):
-    """Carry datagrams to other hosts; they may be lost, late or doubled."""
+    """An unreliable datagram transport: datagrams may be lost, delayed or duplicated."""
 
     def listen(self, received: Callable[[bytes, str], None]) -> None:
-        """Hand each datagram and the host that it comes from to a function."""
+        """Call ``received`` with the data and source host of each datagram."""
 
     def send(self, host: str, data: bytes) -> None:
-        """Send a datagram; a failure is as good as a loss."""
+        """Send a datagram; errors are treated as packet loss."""
 
     def close(self) -> None:
-        """Send and receive no more."""
+        """Close the transport."""
 
 
 class DatagramSocket:
-    """Use the same UDP port on every host."""
+    """A UDP socket; all hosts use the same port."""
 
     def __init__(self, loop: EventLoop, host: str, port: int) -> None:
         self._loop = loop
@@ -40,29 +40,29 @@
         self._socket.setblocking(False)
 
     def listen(self, received: Callable[[bytes, str], None]) -> None:
-        """Hand each datagram and the host that it comes from to a function."""
-        self._loop.watch(self._socket, selectors.EVENT_READ, lambda _: self._read(received))
+        """Call ``received`` with the data and source host of each datagram."""
+        self._loop.watch(self._socket, selectors.EVENT_READ, lambda _: self._receive(received))
 
     def send(self, host: str, data: bytes) -> None:
-        """Send a datagram; a failure is as good as a loss."""
+        """Send a datagram; errors are treated as packet loss."""
         try:
             self._socket.sendto(data, (host, self._port))
         except OSError as error:
-            # A lost datagram costs a stale view until its rows are told again.
-            _logger.debug("datagram not sent", extra={"error": str(error)})
+            # The peer keeps stale rows until they are published again.
+            _logger.debug("failed to send datagram", extra={"error": str(error)})
 
     def close(self) -> None:
-        """Send and receive no more."""
+        """Close the socket."""
         self._loop.unwatch(self._socket)
         self._socket.close()
 
-    def _read(self, received: Callable[[bytes, str], None]) -> None:
+    def _receive(self, received: Callable[[bytes, str], None]) -> None:
         while True:
             try:
-                data, (host, _port) = self._socket.recvfrom(_LARGEST_DATAGRAM)
+                data, (host, _port) = self._socket.recvfrom(_MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError as error:
-                _logger.debug("datagram not read", extra={"error": str(error)})
+                _logger.debug("failed to receive datagram", extra={"error": str(error)})
                 return
             received(data, host)
