--- a/src/brassdrum/gateway/net/callers.py
+++ b/src/brassdrum/gateway/net/callers.py
@@ -1,7 +1,7 @@
-"""Serve callers' connections over HTTP/1.1 with ``h11`` as the codec.
+"""HTTP/1.1 server connections, with ``h11`` as the codec.
 
-``waitress`` rewrites header names, reads bodies ahead of the application and knows no time limit
-for a header; a verbatim relay needs all three, so this border uses its nearest kin.
+``waitress`` is not suitable for a verbatim proxy: it rewrites header names, buffers bodies before
+it calls the application and has no timeout for headers.
 """
 
 from __future__ import annotations
@@ -21,38 +21,42 @@
 __all__ = ["CallerConnection", "CallerHandler", "Listener", "Responder"]
 
 _logger = logging.getLogger(__name__)
-_BACKLOG = 1024
-_ACCEPTS_PER_WAKE = 64
-# A caller that stops reading may hold this much of its answer; then its connection is dropped.
-_LARGEST_BACKLOG = 4 << 20
-_REASONS = {400: b"Bad Request", 408: b"Request Timeout", 413: b"Content Too Large"}
-_REASONS |= {431: b"Request Header Fields Too Large", 503: b"Service Unavailable", 200: b"OK"}
+_LISTEN_BACKLOG = 1024
+_MAX_ACCEPTS_PER_EVENT = 64
+# The connection of a caller that reads too slowly is closed beyond this limit.
+_MAX_WRITE_BUFFER_BYTES = 4 << 20
+_REASON_PHRASES = {400: b"Bad Request", 408: b"Request Timeout", 413: b"Content Too Large"}
+_REASON_PHRASES |= {
+    431: b"Request Header Fields Too Large",
+    503: b"Service Unavailable",
+    200: b"OK",
+}
 
 
 class CallerHandler(Protocol):
-    """Answer one request."""
+    """Processes one request."""
 
     def caller_left(self) -> None:
-        """Learn that the caller closed its connection before the answer was whole."""
+        """Handle the loss of the caller's connection before the response is complete."""
 
 
 class Responder(Protocol):
-    """Decide how requests are answered and how long connections live."""
+    """Handles the requests of connections and provides their limits."""
 
     def limits(self) -> CallerLimits:
-        """Return the limits in force."""
+        """Return the current limits."""
 
     def closing(self) -> bool:
-        """Return whether connections shall end after their present answer."""
+        """Return whether connections are closed after their current response."""
 
     def handle(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> CallerHandler | None:
-        """Begin to answer a request that was read whole; None if it is answered already."""
+        """Process a complete request; return None if the response has been sent."""
 
 
 class Listener:
-    """Accept connections on one address."""
+    """A listening TCP socket."""
 
     def __init__(
         self, loop: EventLoop, host: str, port: int, accept: Callable[[socket.socket], None]
@@ -62,30 +66,30 @@
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.bind((host, port))
-        self._socket.listen(_BACKLOG)
+        self._socket.listen(_LISTEN_BACKLOG)
         self._socket.setblocking(False)
         self.port = int(self._socket.getsockname()[1])
-        loop.watch(self._socket, selectors.EVENT_READ, self._ready)
+        loop.watch(self._socket, selectors.EVENT_READ, self._accept_pending)
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Stop accepting connections."""
         self._loop.unwatch(self._socket)
         self._socket.close()
 
-    def _ready(self, _events: int) -> None:
-        for _ in range(_ACCEPTS_PER_WAKE):
+    def _accept_pending(self, _events: int) -> None:
+        for _ in range(_MAX_ACCEPTS_PER_EVENT):
             try:
                 sock, _address = self._socket.accept()
             except BlockingIOError:
                 return
             except OSError as error:
-                _logger.warning("accept failed", extra={"error": str(error)})
+                _logger.warning("failed to accept connection", extra={"error": str(error)})
                 return
             self._accept(sock)
 
 
 class CallerConnection:
-    """Read requests from one connection, one at a time, and write their answers."""
+    """A server connection that handles one request at a time."""
 
     def __init__(
         self,
@@ -104,16 +108,16 @@
         self._head: RequestHead | None = None
         self._body = bytearray()
         self._handler: CallerHandler | None = None
-        self._answering = False
+        self._responding = False
         self._timer: Timer | None = None
         self._reading = False
         self._transport = Transport(loop, sock, self)
-        self._wait_idle()
+        self._start_idle_timer()
 
     @property
     def busy(self) -> bool:
-        """Return whether a request is being read or answered."""
-        return self._answering or self._reading
+        """Return whether a request is being read or processed."""
+        return self._responding or self._reading
 
     @property
     def closed(self) -> bool:
@@ -121,35 +125,38 @@
         return self._transport.closed
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Send the start of the answer."""
+        """Send the status and headers of a response."""
         if self._responder.closing():
             headers = [*headers, (b"Connection", b"close")]
-        reason = _REASONS.get(status, b"Status")
+        reason = _REASON_PHRASES.get(status, b"Status")
         self._send(h11.Response(status_code=status, headers=headers, reason=reason))
 
     def data(self, content: bytes) -> None:
-        """Send a part of the answer's body."""
+        """Send a chunk of the response body."""
         self._send(h11.Data(data=content))
-        if self._transport.backlog > _LARGEST_BACKLOG:
-            _logger.warning("caller reads too slowly", extra={"backlog": self._transport.backlog})
-            self._lose()
+        if self._transport.backlog > _MAX_WRITE_BUFFER_BYTES:
+            _logger.warning(
+                "closing connection: caller reads too slowly",
+                extra={"backlog": self._transport.backlog},
+            )
+            self._handle_disconnect()
 
     def end(self) -> None:
-        """End a whole answer and wait for the next request."""
+        """Complete the response and wait for the next request."""
         self._send(h11.EndOfMessage())
-        self._answering = False
+        self._responding = False
         self._handler = None
         if self._transport.closed:
             return
         if self._codec.our_state is h11.DONE and self._codec.their_state is h11.DONE:
             self._codec.start_next_cycle()
-            self._wait_idle()
-            self._advance()
+            self._start_idle_timer()
+            self._process_events()
             return
-        self._close_politely()
+        self._close_after_flush()
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         length = (b"Content-Length", b"%d" % len(body))
         self.begin(status, [*headers, length])
         if body:
@@ -158,86 +165,86 @@
             self.end()
 
     def abort(self) -> None:
-        """Break the answer off so that it cannot look whole."""
-        self._answering = False
+        """Close the connection, leaving the response visibly incomplete."""
+        self._responding = False
         self._handler = None
-        # Every answer has a length or chunks, so an early end of the connection shows; a reset
-        # would take away bytes that the caller has not read yet.
-        self._shut()
+        # Content-Length or chunked encoding reveals the truncation. A reset could also discard
+        # data that the caller has not read yet.
+        self._close()
 
     def close_if_idle(self) -> None:
-        """Close a connection on which no request is being read or answered."""
+        """Close the connection unless a request is being read or processed."""
         if not self.busy and not self._transport.closed:
-            self._shut()
+            self._close()
 
     def connected(self) -> None:
-        """Do nothing: callers' connections are established when they are accepted."""
+        """Do nothing: accepted connections are already established."""
 
     def received(self, data: bytes) -> None:
-        """Take bytes of the caller."""
-        if not data and self._answering:
-            self._lose()
+        """Handle data or EOF from the caller."""
+        if not data and self._responding:
+            self._handle_disconnect()
             return
         if not data and not self._reading:
-            self._shut()
+            self._close()
             return
         try:
             self._codec.receive_data(data)
         except h11.RemoteProtocolError as error:
-            self._refuse(error)
+            self._reject_malformed(error)
             return
-        if not self._answering:
-            self._advance()
+        if not self._responding:
+            self._process_events()
 
     def lost(self, _error: OSError) -> None:
-        """Learn that the connection broke."""
-        self._lose()
+        """Handle a connection error."""
+        self._handle_disconnect()
 
-    def _advance(self) -> None:
-        while not self._answering and not self._transport.closed:
+    def _process_events(self) -> None:
+        while not self._responding and not self._transport.closed:
             try:
                 event = self._codec.next_event()
             except h11.RemoteProtocolError as error:
-                self._refuse(error)
+                self._reject_malformed(error)
                 return
             if event is h11.NEED_DATA:
-                self._note_partial_read()
+                self._check_partial_head()
                 return
             if event is h11.PAUSED:
                 return
-            self._take(event)
+            self._process_event(event)
 
-    def _take(self, event: h11.Event) -> None:
+    def _process_event(self, event: h11.Event) -> None:
         if isinstance(event, h11.Request):
             self._begin_reading()
             self._head = RequestHead(event.method, event.target, event.headers.raw_items())
             if self._head.size > self._limits.header_bytes:
-                # The codec bounds only what comes in pieces, not a head that comes at once.
-                self._fail(431)
+                # h11 limits only incomplete heads, not one that arrives in a single read.
+                self._send_error(431)
                 return
             if self._codec.they_are_waiting_for_100_continue:
                 self._send(h11.InformationalResponse(status_code=100, headers=[]))
         elif isinstance(event, h11.Data):
             self._body += event.data
             if len(self._body) > self._limits.body_bytes:
-                self._fail(413)
+                self._send_error(413)
         elif isinstance(event, h11.EndOfMessage):
-            self._handle()
+            self._dispatch_request()
         elif isinstance(event, h11.ConnectionClosed):
-            self._shut()
+            self._close()
 
-    def _handle(self) -> None:
+    def _dispatch_request(self) -> None:
         self._stop_timer()
         head, body = self._head, bytes(self._body)
         assert head is not None
         self._head, self._body = None, bytearray()
         self._reading = False
-        self._answering = True
+        self._responding = True
         handler = self._responder.handle(self, head, body)
-        if self._answering:
+        if self._responding:
             self._handler = handler
 
-    def _note_partial_read(self) -> None:
+    def _check_partial_head(self) -> None:
         if not self._reading and self._codec.trailing_data[0]:
             self._begin_reading()
 
@@ -246,12 +253,12 @@
             return
         self._reading = True
         self._limits = self._responder.limits()
-        self._start_timer(self._limits.header_seconds, lambda: self._fail(408))
+        self._start_timer(self._limits.header_seconds, lambda: self._send_error(408))
 
-    def _wait_idle(self) -> None:
+    def _start_idle_timer(self) -> None:
         if self._responder.closing():
             return
-        self._start_timer(self._responder.limits().idle_seconds, self._shut)
+        self._start_timer(self._responder.limits().idle_seconds, self._close)
 
     def _start_timer(self, seconds: float, callback: Callable[[], None]) -> None:
         self._stop_timer()
@@ -262,30 +269,30 @@
             self._timer.cancel()
             self._timer = None
 
-    def _refuse(self, error: h11.RemoteProtocolError) -> None:
-        _logger.info("unreadable request", extra={"error": str(error)})
-        self._fail(error.error_status_hint)
+    def _reject_malformed(self, error: h11.RemoteProtocolError) -> None:
+        _logger.info("malformed request", extra={"error": str(error)})
+        self._send_error(error.error_status_hint)
 
-    def _fail(self, status: int) -> None:
-        """Answer what cannot be read any further, and close."""
+    def _send_error(self, status: int) -> None:
+        """Send an error response, if still possible, and close the connection."""
         if self._codec.our_state is h11.IDLE or self._codec.our_state is h11.SEND_RESPONSE:
             self._send(
                 h11.Response(
                     status_code=status,
-                    reason=_REASONS.get(status, b"Refused"),
+                    reason=_REASON_PHRASES.get(status, b"Refused"),
                     headers=[(b"Content-Length", b"0"), (b"Connection", b"close")],
                 )
             )
             self._send(h11.EndOfMessage())
-        self._close_politely()
+        self._close_after_flush()
 
-    def _close_politely(self) -> None:
+    def _close_after_flush(self) -> None:
         self._stop_timer()
         self._transport.close_when_sent()
         if self._transport.closed:
             self._on_closed(self)
         else:
-            self._start_timer(self._limits.header_seconds, self._shut)
+            self._start_timer(self._limits.header_seconds, self._close)
 
     def _send(self, event: h11.Event) -> None:
         if self._transport.closed:
@@ -294,14 +301,14 @@
         if data:
             self._transport.write(data)
 
-    def _lose(self) -> None:
+    def _handle_disconnect(self) -> None:
         handler, self._handler = self._handler, None
-        self._answering = False
-        self._shut()
+        self._responding = False
+        self._close()
         if handler is not None:
             handler.caller_left()
 
-    def _shut(self) -> None:
+    def _close(self) -> None:
         self._stop_timer()
         self._transport.close()
         self._on_closed(self)
