--- a/src/brassdrum/gateway/net/callers.py
+++ b/src/brassdrum/gateway/net/callers.py
@@ -134,10 +134,10 @@
     def data(self, content: bytes) -> None:
         """Send a chunk of the response body."""
         self._send(h11.Data(data=content))
-        if self._transport.backlog > _MAX_WRITE_BUFFER_BYTES:
+        if self._transport.write_buffer_size > _MAX_WRITE_BUFFER_BYTES:
             _logger.warning(
                 "closing connection: caller reads too slowly",
-                extra={"backlog": self._transport.backlog},
+                extra={"backlog": self._transport.write_buffer_size},
             )
             self._handle_disconnect()
 
--- a/src/brassdrum/gateway/net/transport.py
+++ b/src/brassdrum/gateway/net/transport.py
@@ -48,12 +48,12 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._update_events()
 
-    def bound_acknowledgement(self, seconds: float) -> None:
+    def set_ack_timeout(self, seconds: float) -> None:
         """Set how long sent data may stay unacknowledged before the connection fails."""
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(seconds * 1000))
 
     @property
-    def backlog(self) -> int:
+    def write_buffer_size(self) -> int:
         """Return the number of bytes waiting to be written to the socket."""
         return len(self._write_buffer)
 
--- a/src/brassdrum/gateway/net/upstream.py
+++ b/src/brassdrum/gateway/net/upstream.py
@@ -1,4 +1,4 @@
-"""Send requests to endpoints over kept connections, with ``h11`` as the codec."""
+"""HTTP/1.1 client with a pool of persistent connections to endpoints."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 __all__ = ["Break", "CallOwner", "EndpointCall", "EndpointPool", "OutgoingRequest"]
 
-# A connection that is not up after this is given up: a handshake takes about 5 ms between zones.
-_CONNECT_SECONDS = 0.3
-# Endpoints that name no idle time close connections after seconds; a shorter reuse is safe.
-_REUSE_SECONDS = 2.0
-# Endpoints close at the time that they name; a request on its way then would be lost.
+# A handshake between zones takes about 5 ms.
+_CONNECT_TIMEOUT_SECONDS = 0.3
+# Used without a Keep-Alive header; shorter than the usual idle timeout of servers.
+_DEFAULT_REUSE_SECONDS = 2.0
+# Connections are not reused this close to the idle timeout that the endpoint announces: a request
+# in flight when the endpoint closes the connection would be lost.
 _KEEP_ALIVE_MARGIN_SECONDS = 0.5
-# A host that is gone, or a connection that went silent, acknowledges nothing: a request that may be
-# sent again is not left there for longer. Round trips take about 5 ms; this bears two lost packets,
-# and half a second of waiting at a thin link.
-_UNACKNOWLEDGED_SECONDS = 1.0
-_MOST_IDLE = 32
-_LARGEST_HEADER_BYTES = 65536
+# Detects an unreachable host, so that the request can be retried. Long enough for two lost packets
+# and half a second of queueing on a slow link.
+_ACK_TIMEOUT_SECONDS = 1.0
+_MAX_IDLE_PER_ADDRESS = 32
+_MAX_HEADER_BYTES = 65536
 
 
 class Break(Enum):
-    """Say how far a call got before its connection broke."""
+    """How far a call had progressed when its connection was lost."""
 
     NOT_SENT = auto()
     MAY_HAVE_RUN = auto()
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """Hold one request for an endpoint."""
+    """A request to an endpoint."""
 
     method: bytes
     target: bytes
@@ -50,33 +50,33 @@
 
 
 class CallOwner(Protocol):
-    """Be told of one call's answer; after ``answered`` or ``broken`` nothing more comes."""
+    """Callbacks for one call; ``answered`` or ``broken`` is the last."""
 
     def began(self, status: int, headers: Headers) -> None:
-        """Take the start of the answer."""
+        """Handle the status and headers of the response."""
 
     def data(self, content: bytes) -> None:
-        """Take a part of the answer's body."""
+        """Handle a chunk of the response body."""
 
     def answered(self) -> None:
-        """Learn that the answer is whole."""
+        """Handle the end of a complete response."""
 
     def broken(self, how: Break, detail: str) -> None:
-        """Learn that the connection broke."""
+        """Handle a lost connection or an invalid response."""
 
 
 class EndpointConnection:
-    """Carry one call at a time."""
+    """A client connection that carries one call at a time."""
 
     def __init__(self, pool: EndpointPool, loop: EventLoop, address: str) -> None:
         self.address = address
         self.idle_since = 0.0
-        self.reuse_seconds = _REUSE_SECONDS
+        self.reuse_seconds = _DEFAULT_REUSE_SECONDS
         self._pool = pool
         self._loop = loop
         self._call: EndpointCall | None = None
-        self._up = False
-        self._codec = h11.Connection(h11.CLIENT, max_incomplete_event_size=_LARGEST_HEADER_BYTES)
+        self._established = False
+        self._codec = h11.Connection(h11.CLIENT, max_incomplete_event_size=_MAX_HEADER_BYTES)
         host, _, port = address.rpartition(":")
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
@@ -85,7 +85,9 @@
         if self.failed:
             sock.close()
             return
-        self._timer: Timer | None = loop.call_later(_CONNECT_SECONDS, self._connect_late)
+        self._timer: Timer | None = loop.call_later(
+            _CONNECT_TIMEOUT_SECONDS, self._connect_timed_out
+        )
         self._transport = Transport(loop, sock, self, connecting=True)
 
     @property
@@ -93,50 +95,50 @@
         """Return whether the connection is closed."""
         return self._transport.closed
 
-    def bound_acknowledgement(self) -> None:
-        """Break off soon when the endpoint's host does not acknowledge the request."""
-        self._transport.bound_acknowledgement(_UNACKNOWLEDGED_SECONDS)
+    def set_ack_timeout(self) -> None:
+        """Limit how long the request may stay unacknowledged."""
+        self._transport.set_ack_timeout(_ACK_TIMEOUT_SECONDS)
 
     def send(self, call: EndpointCall) -> None:
-        """Begin a call as soon as the connection is up."""
+        """Send the request of a call once the connection is established."""
         self._call = call
-        if self._up:
-            self._write()
+        if self._established:
+            self._send_request()
 
     def close(self) -> None:
-        """Close, telling the call nothing."""
+        """Close the connection without notifying the call."""
         self._call = None
         self._stop_timer()
         self._transport.close()
 
     def connected(self) -> None:
-        """Send what waits for the connection."""
+        """Send the pending request."""
         self._stop_timer()
-        self._up = True
+        self._established = True
         if self._call is not None:
-            self._write()
+            self._send_request()
 
     def received(self, data: bytes) -> None:
-        """Take bytes of the endpoint."""
+        """Handle data or EOF from the endpoint."""
         if self._call is None:
-            # Bytes or an end on an idle connection belong to no request.
+            # Neither data nor EOF is expected on an idle connection.
             self._pool.discard(self)
             return
         try:
             self._codec.receive_data(data)
-            self._advance()
+            self._process_events()
         except h11.RemoteProtocolError as error:
-            self._fail(str(error))
+            self._fail_call(str(error))
 
     def lost(self, error: OSError) -> None:
-        """Learn that the connection broke."""
+        """Handle a connection error."""
         self._stop_timer()
         if self._call is None:
             self._pool.discard(self)
             return
-        self._fail(str(error))
+        self._fail_call(str(error))
 
-    def _write(self) -> None:
+    def _send_request(self) -> None:
         call = self._call
         assert call is not None
         request = call.request
@@ -150,37 +152,39 @@
             self._transport.write(self._codec.send(h11.Data(data=request.body)))
         self._transport.write(self._codec.send(h11.EndOfMessage()))
 
-    def _advance(self) -> None:
+    def _process_events(self) -> None:
         while self._call is not None:
             event = self._codec.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
             if isinstance(event, h11.Response):
-                self._note_keep_alive(event)
+                self._apply_keep_alive(event)
                 self._call.began = True
                 self._call.owner.began(event.status_code, event.headers.raw_items())
             elif isinstance(event, h11.Data):
                 self._call.owner.data(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                self._finish()
+                self._complete_call()
             elif isinstance(event, h11.ConnectionClosed):
-                self._fail("the endpoint closed the connection")
+                self._fail_call("the endpoint closed the connection")
 
-    def _finish(self) -> None:
+    def _complete_call(self) -> None:
         call, self._call = self._call, None
         assert call is not None
-        clean = self._codec.our_state is h11.DONE and self._codec.their_state is h11.DONE
-        # Bytes after a whole answer belong to no request; an answer ahead of the request's end
-        # leaves the endpoint waiting for the rest of the body.
-        reusable = clean and not self._codec.trailing_data[0] and not self._transport.backlog
+        both_done = self._codec.our_state is h11.DONE and self._codec.their_state is h11.DONE
+        # Trailing data belongs to no request; after an early response, the endpoint may still
+        # expect the rest of the request body.
+        reusable = (
+            both_done and not self._codec.trailing_data[0] and not self._transport.write_buffer_size
+        )
         if reusable:
             self._codec.start_next_cycle()
-            self._pool.give_back(self)
+            self._pool.release(self)
         else:
             self._transport.close()
         call.owner.answered()
 
-    def _note_keep_alive(self, response: h11.Response) -> None:
+    def _apply_keep_alive(self, response: h11.Response) -> None:
         for name, value in response.headers:
             if name != b"keep-alive":
                 continue
@@ -189,11 +193,11 @@
                 if key.lower() == b"timeout" and seconds.isdigit():
                     self.reuse_seconds = int(seconds) - _KEEP_ALIVE_MARGIN_SECONDS
 
-    def _connect_late(self) -> None:
+    def _connect_timed_out(self) -> None:
         self._transport.close()
-        self._fail("no connection within the time")
+        self._fail_call("connect timed out")
 
-    def _fail(self, detail: str) -> None:
+    def _fail_call(self, detail: str) -> None:
         self._stop_timer()
         self._transport.close()
         call, self._call = self._call, None
@@ -213,7 +217,7 @@
 
 
 class EndpointCall:
-    """Stand for one request at one endpoint until it ends or is cancelled."""
+    """A request in progress at an endpoint."""
 
     def __init__(self, owner: CallOwner, request: OutgoingRequest) -> None:
         self.owner = owner
@@ -224,13 +228,13 @@
         self.connection: EndpointConnection | None = None
 
     def cancel(self) -> None:
-        """Close the connection, so that the endpoint stops its work; the owner hears no more."""
+        """Close the connection, so that the endpoint stops its work; the owner is not notified."""
         if self.connection is not None:
             self.connection.close()
 
 
 class EndpointPool:
-    """Open, keep and reuse connections by address."""
+    """A pool of persistent connections by address."""
 
     def __init__(self, loop: EventLoop) -> None:
         self._loop = loop
@@ -240,45 +244,45 @@
     def call(
         self, address: str, owner: CallOwner, request: OutgoingRequest, *, fresh: bool = False
     ) -> EndpointCall:
-        """Send a request; ``fresh`` opens a connection that no earlier answer can disturb."""
+        """Send a request; ``fresh`` forces a new connection without data of earlier responses."""
         call = EndpointCall(owner, request)
-        connection = None if fresh else self._take(address)
+        connection = None if fresh else self._take_idle(address)
         call.reused = connection is not None
         if connection is None:
             connection = EndpointConnection(self, self._loop, address)
             self.opened += 1
         if connection.failed:
-            self._loop.post(lambda: owner.broken(Break.NOT_SENT, "connect refused"))
+            self._loop.post(lambda: owner.broken(Break.NOT_SENT, "connect failed"))
             return call
         call.connection = connection
         if not fresh:
-            connection.bound_acknowledgement()
+            connection.set_ack_timeout()
         connection.send(call)
         return call
 
-    def give_back(self, connection: EndpointConnection) -> None:
-        """Keep a connection whose answer was whole."""
+    def release(self, connection: EndpointConnection) -> None:
+        """Return a connection to the pool after a complete response."""
         idle = self._idle_by_address[connection.address]
-        if len(idle) >= _MOST_IDLE or connection.reuse_seconds <= 0:
+        if len(idle) >= _MAX_IDLE_PER_ADDRESS or connection.reuse_seconds <= 0:
             connection.close()
             return
         connection.idle_since = self._loop.now()
         idle.append(connection)
 
     def discard(self, connection: EndpointConnection) -> None:
-        """Forget an idle connection that ended."""
+        """Close an idle connection and remove it from the pool."""
         connection.close()
         try:
             self._idle_by_address[connection.address].remove(connection)
         except ValueError:
-            return  # It was taken out already.
+            return  # Already removed.
 
     def forget(self, address: str) -> None:
-        """Close the idle connections to an address that changed hands."""
+        """Close the idle connections to an address that now belongs to another endpoint."""
         for connection in self._idle_by_address.pop(address, ()):
             connection.close()
 
-    def _take(self, address: str) -> EndpointConnection | None:
+    def _take_idle(self, address: str) -> EndpointConnection | None:
         idle = self._idle_by_address[address]
         now = self._loop.now()
         while idle:
