--- a/features/steps/server_close_steps.py
+++ b/features/steps/server_close_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a server that is closed while its threads are at work."""
+"""Steps on a server that is closed while its threads process requests."""
 
 import os
 import socket
@@ -11,8 +11,8 @@
 from brassdrum.wsgi import HttpServer, Response, Router
 from features.support import eventually
 
-# Far more than a closed server leaves free.
-MOST_CONNECTIONS = 100
+# Far more than a closed server frees.
+MAX_CONNECTIONS = 100
 
 
 def _open_descriptors():
@@ -26,19 +26,19 @@
         return error
 
 
-@given("a server whose {count:d} threads are each at work on a request")
+@given("a server with {count:d} threads, each processing a request")
 def step_server(context, count):
     context.release = threading.Event()
     context.stack.push(context.release.set)
-    arrived = threading.Semaphore(0)
+    requests_arrived = threading.Semaphore(0)
 
-    def held(_request):
-        arrived.release()
+    def handle_blocked(_request):
+        requests_arrived.release()
         context.release.wait(30)
         return Response(200, [b"late"], "text/plain")
 
     router = Router()
-    router.add("GET", "/held", held)
+    router.add("GET", "/held", handle_blocked)
     context.server = HttpServer(router, "127.0.0.1", 0, count)
     context.server.start()
     callers = ThreadPoolExecutor(count)
@@ -46,46 +46,48 @@
     url = f"http://127.0.0.1:{context.server.port}"
     context.calls = [callers.submit(_call, url) for _ in range(count)]
     for _ in range(count):
-        assert arrived.acquire(timeout=30)
+        assert requests_arrived.acquire(timeout=30)
 
 
-def _take_numbers(context, free):
-    """Open connections until they have the numbers of descriptors that are free now."""
-    while free and len(context.pairs) < MOST_CONNECTIONS:
+def _reuse_descriptors(context, free_descriptors):
+    """Open connections until they use all the given descriptor numbers."""
+    while free_descriptors and len(context.pairs) < MAX_CONNECTIONS:
         pair = socket.socketpair()
         context.stack.push(pair[0].close)
         context.stack.push(pair[1].close)
         context.pairs.append(pair)
-        free -= {pair[0].fileno(), pair[1].fileno()}
-    assert not free, free
+        free_descriptors -= {pair[0].fileno(), pair[1].fileno()}
+    assert not free_descriptors, free_descriptors
 
 
-@when("the server is closed, and while it waits for its threads new connections take free numbers")
+@when("the server is closed and new connections reuse its descriptor numbers")
 def step_closed(context):
     context.pairs = []
     dispatcher = context.server._server.task_dispatcher
     shutdown = dispatcher.shutdown
-    before = _open_descriptors()
+    open_before = _open_descriptors()
 
     def slow_shutdown(*arguments, **named):
-        # A host with more work than cores: all this comes between two steps of the closing thread.
-        _take_numbers(context, before - _open_descriptors())
+        # Runs while close() waits for the threads, as on an overloaded host.
+        _reuse_descriptors(context, open_before - _open_descriptors())
         context.release.set()
-        eventually(lambda: dispatcher.active_count == 0, "the threads have ended their requests")
+        eventually(
+            lambda: dispatcher.active_count == 0, "the threads have completed their requests"
+        )
         return shutdown(*arguments, **named)
 
     dispatcher.shutdown = slow_shutdown
     context.server.close()
-    _take_numbers(context, before - _open_descriptors() - _numbers(context))
-    eventually(lambda: not dispatcher.threads, "the threads have ended")
+    _reuse_descriptors(context, open_before - _open_descriptors() - _descriptors(context))
+    eventually(lambda: not dispatcher.threads, "the threads have exited")
 
 
-def _numbers(context):
+def _descriptors(context):
     return {end.fileno() for pair in context.pairs for end in pair}
 
 
-@then("nothing was written to the new connections")
-def step_nothing(context):
+@then("nothing is written to the new connections")
+def step_nothing_written(context):
     written = []
     for end in (each for pair in context.pairs for each in pair):
         end.setblocking(False)
