--- a/features/stop_waiter.py
+++ b/features/stop_waiter.py
@@ -1,4 +1,4 @@
-"""Wait to be told to stop, a number of times; a process for the scenarios of planned stops."""
+"""A process that waits for the stop signal several times, for the scenarios of planned stops."""
 
 import signal
 import sys
@@ -8,22 +8,22 @@
 from brassdrum.cli.signals import StopSignals
 
 
-def _work():
-    """Compete for the interpreter as the other threads of a daemon do."""
+def _run_busy_thread():
+    """Compete for the interpreter lock like the other threads of a daemon."""
     while True:
         sum(range(2000))
         time.sleep(0.0005)
 
 
 def main(rounds):
-    """Print a line before each wait."""
+    """Print a line before each wait for the signal."""
     for _ in range(3):
-        threading.Thread(target=_work, daemon=True).start()
+        threading.Thread(target=_run_busy_thread, daemon=True).start()
     for _ in range(rounds):
         signals = StopSignals()
         print("waits", flush=True)
         signals.wait()
-    # The interpreter takes handlers away while it ends; the last signals may come then.
+    # The interpreter removes its handlers at exit, when the last signals may still arrive.
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
 
 
