--- a/features/gateway_world.py
+++ b/features/gateway_world.py
@@ -1,4 +1,4 @@
-"""A small world around gateway daemons: a store, endpoints that misbehave on command, callers."""
+"""Test environment of gateway daemons: a fake store, fake endpoints and a caller."""
 
 import contextlib
 import http.client
@@ -29,7 +29,7 @@
 SERVICE = "pool"
 KEY = "key-1"
 EVENTS = 5
-# A body that ends the process of every endpoint that begins to run it.
+# Crashes every fake endpoint that receives it.
 ENDING_BODY = b"ends whoever runs it"
 QUICK = Bounds(drain=0.6, configuration=0.6, grace=2.5)
 
@@ -37,7 +37,7 @@
 
 
 class FakeStore:
-    """Hold a configuration and endpoints, and fail on command."""
+    """An in-memory store that can be made unavailable."""
 
     def __init__(self):
         self.current = None
@@ -50,50 +50,50 @@
         self._object_by_value = {}
 
     def configuration(self):
-        """Return the newest configuration."""
-        self._call()
+        """Return the record of the configuration, or None."""
+        self._count_call()
         return None if self.current is None else self._record("config", self.current)
 
     def endpoints(self):
-        """Return the list of endpoints."""
-        self._call()
+        """Return the records of the endpoints."""
+        self._count_call()
         return [self._record(entry.id, entry) for entry in self.entries]
 
     def daemons(self):
-        """Return the addresses of announced daemons."""
-        self._call()
+        """Return the addresses of the announced daemons."""
+        self._count_call()
         return list(self.hosts.values())
 
     def announce(self, name, address):
-        """Note a daemon."""
-        self._call()
+        """Store the address of a daemon."""
+        self._count_call()
         self.hosts[name] = address
 
     def quarantines(self):
-        """Return the kept records of quarantined contents."""
-        self._call()
+        """Return the records of quarantined contents."""
+        self._count_call()
         return list(self.quarantine_by_content.values())
 
     def keep_quarantine(self, record):
-        """Keep a record, or drop it where the value is empty."""
-        self._call()
+        """Store a record, or delete it if its value is empty."""
+        self._count_call()
         if record.value:
             self.quarantine_by_content[record.key] = record
         else:
             self.quarantine_by_content.pop(record.key, None)
 
     def decode_configuration(self, record):
-        """Return what was stored."""
+        """Return the configuration of a record."""
         return self._object_by_value[record.value]
 
     def decode_endpoint(self, record):
-        """Return what was stored."""
+        """Return the endpoint of a record."""
         return self._object_by_value[record.value]
 
-    def _call(self):
+    def _count_call(self):
         self.calls += 1
         if self.down:
-            raise PlatformUnavailableError("The store is down.")
+            raise PlatformUnavailableError("The store is unavailable.")
 
     def _record(self, key, value):
         text = repr(value).encode()
@@ -102,7 +102,7 @@
 
 
 class Endpoint:
-    """Serve one address in threads; a list of behaviours is used up one a request."""
+    """An endpoint that answers each request with a queued behaviour, or else a default one."""
 
     def __init__(self, name, service=SERVICE, slots=4):
         self.name = name
@@ -124,7 +124,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def end(self):
-        """End as a process does: its host refuses connections, and all open ones break."""
+        """Crash: close all connections and refuse new ones."""
         self.ended = True
         self._socket.shutdown(socket.SHUT_RDWR)
         self._socket.close()
@@ -133,7 +133,7 @@
                 connection.shutdown(socket.SHUT_RDWR)
 
     def start_again(self):
-        """Serve the same address as another process, under a new name."""
+        """Restart at the same address under a new name."""
         self.incarnation += 1
         self.name = f"{self.name.split('@')[0]}@{self.incarnation}"
         self._connections = []
@@ -142,11 +142,11 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def entry(self, draining=False):
-        """Return what the endpoint says of itself."""
+        """Return the endpoint's entry in the store."""
         return EndpointEntry(self.name, self.service, self.address, "zone-a", self.slots, draining)
 
     def close(self):
-        """End all connections."""
+        """Close all connections."""
         self.released.set()
         self._socket.close()
         for connection in self._connections:
@@ -173,7 +173,7 @@
                     self.released.wait(20)
                     return
                 if request.target == "/order":
-                    self._order(connection, request)
+                    self._handle_order(connection, request)
                     continue
                 if request.target == "/report":
                     send(connection, 200, b"{}", request, seal=False)
@@ -192,7 +192,7 @@
             self.open -= 1
             connection.close()
 
-    def _order(self, connection, request):
+    def _handle_order(self, connection, request):
         with self._lock:
             self.orders.append(request.body.decode())
         refused = self.usual == "no memory" and "reserve" in self.orders[-1]
@@ -200,7 +200,7 @@
 
 
 class ReceivedRequest:
-    """Hold a request as an endpoint got it."""
+    """A request that an endpoint received."""
 
     def __init__(self, method, target, headers, body):
         self.method = method
@@ -210,7 +210,7 @@
 
 
 def read_request(stream):
-    """Read one request; None at the end of the connection."""
+    """Read one request; return None at EOF."""
     line = stream.readline().decode("latin-1").split()
     if len(line) < 2:
         return None
@@ -226,7 +226,7 @@
 
 
 def send(connection, status, body, request, seal=True, extra=(), length=True):
-    """Send an answer that echoes the request's id."""
+    """Send a response with the attempt id of the request."""
     lines = [f"HTTP/1.1 {status} X", f"X-Attempt-Id: {request.header_by_name.get('x-attempt-id')}"]
     if seal:
         lines.append("X-Replica-Seal: seal-1")
@@ -237,11 +237,11 @@
 
 
 def event(number):
-    """Return the bytes of one event."""
+    """Return an encoded server-sent event."""
     return b"id: %d\ndata: token %d\n\n" % (number, number)
 
 
-def _stream(connection, request, numbers, tail=b"", end=True):
+def _send_stream(connection, request, numbers, tail=b"", end=True):
     lines = [
         "HTTP/1.1 200 OK",
         f"X-Attempt-Id: {request.header_by_name['x-attempt-id']}",
@@ -259,107 +259,107 @@
         connection.sendall(b"0\r\n\r\n")
 
 
-def _rest(request):
+def _remaining_events(request):
     start = int(request.header_by_name.get("last-event-id", "0"))
     return range(start + 1, EVENTS + 1)
 
 
 @behaviours.register("whole")
-def whole(endpoint, connection, request):
-    """Answer with the endpoint's name."""
+def complete_response(endpoint, connection, request):
+    """Send a complete response that contains the endpoint's name."""
     send(connection, 200, endpoint.name.encode(), request)
 
 
 @behaviours.register("failure")
 def failure(endpoint, connection, request):
-    """Run the request and fail."""
+    """Execute the request and return an error."""
     send(connection, 500, b"failed", request)
 
 
 @behaviours.register("plain 503")
 def plain_503(endpoint, connection, request):
-    """Answer 503 without saying that the request did not run."""
+    """Return 503 without stating that the request was not executed."""
     send(connection, 503, b"", request)
 
 
 @behaviours.register("not run")
 def not_run(endpoint, connection, request):
-    """Refuse without running."""
+    """Reject the request as not executed."""
     send(connection, 503, b"", request, seal=False, extra=["X-Not-Executed: 1"])
 
 
 @behaviours.register("another endpoint")
 def another_endpoint(endpoint, connection, request):
-    """Answer as the endpoint that has the address now."""
+    """Respond like another endpoint that has taken over the address."""
     send(connection, 421, b"", request, seal=False, extra=["X-Replica-Id: other"])
 
 
 @behaviours.register("lost")
-def lost(endpoint, connection, request):
-    """Run the request and lose the answer."""
+def lost_response(endpoint, connection, request):
+    """Execute the request and close the connection without a response."""
     return False
 
 
 @behaviours.register("silent")
 def silent(endpoint, connection, request):
-    """Run the request and never answer."""
+    """Execute the request and never respond."""
     endpoint.released.wait(20)
     return False
 
 
 @behaviours.register("dark")
-def dark(endpoint, connection, request):
-    """Take the request and never answer anything again, as a host without power does."""
+def unresponsive(endpoint, connection, request):
+    """Stop responding to all requests, like a host that has lost power."""
     endpoint.dark = True
     endpoint.released.wait(20)
     return False
 
 
 @behaviours.register("foreign")
-def foreign(endpoint, connection, request):
-    """Send the late answer of another request first."""
+def response_of_another_request(endpoint, connection, request):
+    """Send the response of another request."""
     request.header_by_name["x-attempt-id"] = "someone-else"
     send(connection, 200, b"not yours", request)
 
 
 @behaviours.register("unsigned")
 def unsigned(endpoint, connection, request):
-    """Answer without the signature."""
+    """Send a response without the X-Replica-Seal header."""
     send(connection, 200, b"unsigned", request, seal=False)
 
 
 @behaviours.register("truncated")
 def truncated(endpoint, connection, request):
-    """Break off in the middle of the body."""
+    """Close the connection in the middle of the body."""
     lines = f"HTTP/1.1 200 OK\r\nX-Attempt-Id: {request.header_by_name['x-attempt-id']}\r\n"
     connection.sendall(f"{lines}X-Replica-Seal: s\r\nContent-Length: 50\r\n\r\nhalf".encode())
     return False
 
 
 @behaviours.register("no answer in the protocol")
-def garbage(endpoint, connection, request):
-    """Send bytes that are no answer."""
+def invalid_http(endpoint, connection, request):
+    """Send data that is not HTTP."""
     connection.sendall(b"\x00\x01garbage\r\n\r\n")
     return False
 
 
 @behaviours.register("extra bytes")
 def extra_bytes(endpoint, connection, request):
-    """Send a second answer after the first."""
+    """Send a second response after the first one."""
     send(connection, 200, endpoint.name.encode(), request)
     send(connection, 200, b"extra", request)
 
 
 @behaviours.register("unframed")
-def unframed(endpoint, connection, request):
-    """Send a whole answer that ends with the connection."""
+def no_length(endpoint, connection, request):
+    """Send a response without Content-Length that ends with the connection."""
     send(connection, 200, endpoint.name.encode(), request, length=False)
     return False
 
 
 @behaviours.register("unframed and reset")
-def unframed_reset(endpoint, connection, request):
-    """Send a part of an answer without length and reset the connection."""
+def no_length_then_reset(endpoint, connection, request):
+    """Send part of a response without Content-Length and reset the connection."""
     send(connection, 200, b"half of an answ", request, length=False)
     time.sleep(0.05)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
@@ -369,35 +369,37 @@
 
 @behaviours.register("stream")
 def stream(endpoint, connection, request):
-    """Stream all events that are left."""
-    _stream(connection, request, _rest(request))
+    """Stream all remaining events."""
+    _send_stream(connection, request, _remaining_events(request))
 
 
 @behaviours.register("stream cut in an event")
-def stream_cut(endpoint, connection, request):
-    """Stream two events and a half."""
-    _stream(connection, request, list(_rest(request))[:2], tail=event(3)[:7], end=False)
+def truncated_event(endpoint, connection, request):
+    """Stream two events and part of a third."""
+    _send_stream(
+        connection, request, list(_remaining_events(request))[:2], tail=event(3)[:7], end=False
+    )
     return False
 
 
 @behaviours.register("stream with a gap")
-def stream_gap(endpoint, connection, request):
-    """Leave an event out."""
-    _stream(connection, request, [1, 2, 4, 5])
+def missing_event(endpoint, connection, request):
+    """Stream with one event missing."""
+    _send_stream(connection, request, [1, 2, 4, 5])
 
 
 @behaviours.register("stream that pauses")
-def stream_pauses(endpoint, connection, request):
-    """Stream two events and fall silent."""
-    _stream(connection, request, list(_rest(request))[:2], end=False)
+def stalled_stream(endpoint, connection, request):
+    """Stream two events and stall."""
+    _send_stream(connection, request, list(_remaining_events(request))[:2], end=False)
     endpoint.released.wait(20)
     return False
 
 
 @behaviours.register("slow stream")
 def slow_stream(endpoint, connection, request):
-    """Stream two events, then the rest when told."""
-    _stream(connection, request, [1, 2], end=False)
+    """Stream two events, and the remaining ones once released."""
+    _send_stream(connection, request, [1, 2], end=False)
     endpoint.released.wait(20)
     for number in (3, 4, 5):
         data = event(number)
@@ -407,17 +409,17 @@
 
 @behaviours.register("no memory")
 def no_memory(endpoint, connection, request):
-    """Serve requests but refuse to hold memory."""
-    _stream(connection, request, _rest(request))
+    """Serve requests but refuse memory reservations."""
+    _send_stream(connection, request, _remaining_events(request))
 
 
 def engine_entry(number):
-    """Return the list's entry of an engine that takes new work."""
+    """Return the entry of an engine that accepts new requests."""
     return EndpointEntry(f"engine-{number}", "pool", f"10.0.0.{number}:80", "zone-a", 8, False)
 
 
 def route(name, kind, **fields):
-    """Return a route at a path of its own."""
+    """Return a route whose path prefix is its name."""
     values = {
         "timeout": 10.0,
         "objective": 2.0,
@@ -430,8 +432,8 @@
 
 
 def configuration(version, engine=None, routes=(), keys=(KEY,)):
-    """Return a configuration with a route of each kind."""
-    usual = (
+    """Return a configuration with routes of each kind."""
+    default_routes = (
         route("hold", RouteKind.NON_IDEMPOTENT),
         route("check", RouteKind.IDEMPOTENT),
         route("text", RouteKind.STREAM, resumable=True),
@@ -439,14 +441,14 @@
     )
     return FleetConfiguration(
         version,
-        (*usual, *routes),
+        (*default_routes, *routes),
         {SERVICE: Service(SERVICE, 100, engine)},
         (Organisation("org-1", frozenset(keys)),),
     )
 
 
 class RunningGateway:
-    """Run a daemon in a thread."""
+    """A gateway daemon that runs in a thread."""
 
     def __init__(self, store, number, peer_port, bounds=QUICK, seeds=(), metrics_port=None):
         self.host = f"127.0.0.{number}"
@@ -466,32 +468,32 @@
         self.daemon = GatewayDaemon(settings, store, PlatformDialect(), rng=random.Random(number))
         self._thread = threading.Thread(target=self.daemon.run, daemon=True)
         self._thread.start()
-        limit = time.monotonic() + 10
-        while len(self.daemon._listeners) < 3 and time.monotonic() < limit:
+        deadline = time.monotonic() + 10
+        while len(self.daemon._listeners) < 3 and time.monotonic() < deadline:
             time.sleep(0.005)
 
     @property
     def running(self):
-        """Return whether the daemon still runs."""
+        """Return whether the daemon is running."""
         return self._thread.is_alive()
 
     def ready(self):
-        """Return whether the daemon calls itself ready."""
+        """Return whether the daemon reports that it is ready."""
         return call(self.host, self.ready_port, "GET", "/readiness").status == 200
 
     def leave(self):
-        """Begin the planned stop."""
+        """Begin a planned stop."""
         self.daemon.loop.post(self.daemon.leave)
 
     def close(self):
-        """Stop at once."""
+        """Stop immediately."""
         if self.running:
             self.daemon.loop.post(self.daemon._finish)
             self._thread.join(5)
 
 
 class Answer:
-    """Hold an answer as a caller saw it."""
+    """A response as received by a caller."""
 
     def __init__(self, status, body, headers, whole):
         self.status = status
@@ -501,7 +503,7 @@
 
 
 def call(host, port, method, path, body=None, **headers):
-    """Send one request and read its answer; status 0 when there was none."""
+    """Send one request and return its response; status 0 if there was none."""
     connection = http.client.HTTPConnection(host, port, timeout=15)
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     try:
