--- a/features/gateway_world.py
+++ b/features/gateway_world.py
@@ -28,10 +28,10 @@
 HOST = "shop.example"
 SERVICE = "pool"
 KEY = "key-1"
-EVENTS = 5
+EVENT_COUNT = 5
 # Crashes every fake endpoint that receives it.
-ENDING_BODY = b"ends whoever runs it"
-QUICK = Bounds(drain=0.6, configuration=0.6, grace=2.5)
+CRASHING_BODY = b"ends whoever runs it"
+SHORT_BOUNDS = Bounds(drain=0.6, configuration=0.6, grace=2.5)
 
 behaviours = Registry("endpoint behaviour")
 
@@ -101,20 +101,20 @@
         return SharedRecord(key, text)
 
 
-class Endpoint:
+class FakeEndpoint:
     """An endpoint that answers each request with a queued behaviour, or else a default one."""
 
     def __init__(self, name, service=SERVICE, slots=4):
         self.name = name
         self.service = service
         self.slots = slots
-        self.script = []
-        self.usual = "whole"
+        self.queued_behaviours = []
+        self.default_behaviour = "whole"
         self.requests = []
         self.orders = []
-        self.open = 0
-        self.dark = False
-        self.ended = False
+        self.open_connections = 0
+        self.unresponsive = False
+        self.crashed = False
         self.incarnation = 0
         self.released = threading.Event()
         self._lock = threading.Lock()
@@ -123,22 +123,22 @@
         self._connections = []
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def end(self):
+    def crash(self):
         """Crash: close all connections and refuse new ones."""
-        self.ended = True
+        self.crashed = True
         self._socket.shutdown(socket.SHUT_RDWR)
         self._socket.close()
         for connection in self._connections:
             with contextlib.suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
 
-    def start_again(self):
+    def restart(self):
         """Restart at the same address under a new name."""
         self.incarnation += 1
         self.name = f"{self.name.split('@')[0]}@{self.incarnation}"
         self._connections = []
         self._socket = socket.create_server(("127.0.0.1", int(self.address.split(":")[1])))
-        self.ended = False
+        self.crashed = False
         threading.Thread(target=self._accept, daemon=True).start()
 
     def entry(self, draining=False):
@@ -162,41 +162,45 @@
             threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
 
     def _serve(self, connection):
-        self.open += 1
+        self.open_connections += 1
         stream = connection.makefile("rb")
         try:
             while True:
                 request = read_request(stream)
                 if request is None:
                     return
-                if self.dark:
+                if self.unresponsive:
                     self.released.wait(20)
                     return
                 if request.target == "/order":
                     self._handle_order(connection, request)
                     continue
                 if request.target == "/report":
-                    send(connection, 200, b"{}", request, seal=False)
+                    send_response(connection, 200, b"{}", request, seal=False)
                     continue
                 with self._lock:
                     self.requests.append(request)
-                    if request.body == ENDING_BODY:
-                        self.end()
+                    if request.body == CRASHING_BODY:
+                        self.crash()
                         return
-                    behaviour = self.script.pop(0) if self.script else self.usual
+                    behaviour = (
+                        self.queued_behaviours.pop(0)
+                        if self.queued_behaviours
+                        else self.default_behaviour
+                    )
                 if behaviours.get(behaviour)(self, connection, request) is False:
                     return
         except OSError:
             return
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             connection.close()
 
     def _handle_order(self, connection, request):
         with self._lock:
             self.orders.append(request.body.decode())
-        refused = self.usual == "no memory" and "reserve" in self.orders[-1]
-        send(connection, 409 if refused else 200, b"{}", request, seal=False)
+        refused = self.default_behaviour == "no memory" and "reserve" in self.orders[-1]
+        send_response(connection, 409 if refused else 200, b"{}", request, seal=False)
 
 
 class ReceivedRequest:
@@ -225,7 +229,7 @@
     return ReceivedRequest(line[0], line[1], headers, body)
 
 
-def send(connection, status, body, request, seal=True, extra=(), length=True):
+def send_response(connection, status, body, request, seal=True, extra=(), length=True):
     """Send a response with the attempt id of the request."""
     lines = [f"HTTP/1.1 {status} X", f"X-Attempt-Id: {request.header_by_name.get('x-attempt-id')}"]
     if seal:
@@ -261,37 +265,37 @@
 
 def _remaining_events(request):
     start = int(request.header_by_name.get("last-event-id", "0"))
-    return range(start + 1, EVENTS + 1)
+    return range(start + 1, EVENT_COUNT + 1)
 
 
 @behaviours.register("whole")
 def complete_response(endpoint, connection, request):
     """Send a complete response that contains the endpoint's name."""
-    send(connection, 200, endpoint.name.encode(), request)
+    send_response(connection, 200, endpoint.name.encode(), request)
 
 
 @behaviours.register("failure")
 def failure(endpoint, connection, request):
     """Execute the request and return an error."""
-    send(connection, 500, b"failed", request)
+    send_response(connection, 500, b"failed", request)
 
 
 @behaviours.register("plain 503")
 def plain_503(endpoint, connection, request):
     """Return 503 without stating that the request was not executed."""
-    send(connection, 503, b"", request)
+    send_response(connection, 503, b"", request)
 
 
 @behaviours.register("not run")
 def not_run(endpoint, connection, request):
     """Reject the request as not executed."""
-    send(connection, 503, b"", request, seal=False, extra=["X-Not-Executed: 1"])
+    send_response(connection, 503, b"", request, seal=False, extra=["X-Not-Executed: 1"])
 
 
 @behaviours.register("another endpoint")
 def another_endpoint(endpoint, connection, request):
     """Respond like another endpoint that has taken over the address."""
-    send(connection, 421, b"", request, seal=False, extra=["X-Replica-Id: other"])
+    send_response(connection, 421, b"", request, seal=False, extra=["X-Replica-Id: other"])
 
 
 @behaviours.register("lost")
@@ -310,7 +314,7 @@
 @behaviours.register("dark")
 def unresponsive(endpoint, connection, request):
     """Stop responding to all requests, like a host that has lost power."""
-    endpoint.dark = True
+    endpoint.unresponsive = True
     endpoint.released.wait(20)
     return False
 
@@ -319,13 +323,13 @@
 def response_of_another_request(endpoint, connection, request):
     """Send the response of another request."""
     request.header_by_name["x-attempt-id"] = "someone-else"
-    send(connection, 200, b"not yours", request)
+    send_response(connection, 200, b"not yours", request)
 
 
 @behaviours.register("unsigned")
 def unsigned(endpoint, connection, request):
     """Send a response without the X-Replica-Seal header."""
-    send(connection, 200, b"unsigned", request, seal=False)
+    send_response(connection, 200, b"unsigned", request, seal=False)
 
 
 @behaviours.register("truncated")
@@ -346,21 +350,21 @@
 @behaviours.register("extra bytes")
 def extra_bytes(endpoint, connection, request):
     """Send a second response after the first one."""
-    send(connection, 200, endpoint.name.encode(), request)
-    send(connection, 200, b"extra", request)
+    send_response(connection, 200, endpoint.name.encode(), request)
+    send_response(connection, 200, b"extra", request)
 
 
 @behaviours.register("unframed")
 def no_length(endpoint, connection, request):
     """Send a response without Content-Length that ends with the connection."""
-    send(connection, 200, endpoint.name.encode(), request, length=False)
+    send_response(connection, 200, endpoint.name.encode(), request, length=False)
     return False
 
 
 @behaviours.register("unframed and reset")
 def no_length_then_reset(endpoint, connection, request):
     """Send part of a response without Content-Length and reset the connection."""
-    send(connection, 200, b"half of an answ", request, length=False)
+    send_response(connection, 200, b"half of an answ", request, length=False)
     time.sleep(0.05)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     connection.close()
@@ -450,7 +454,7 @@
 class RunningGateway:
     """A gateway daemon that runs in a thread."""
 
-    def __init__(self, store, number, peer_port, bounds=QUICK, seeds=(), metrics_port=None):
+    def __init__(self, store, number, peer_port, bounds=SHORT_BOUNDS, seeds=(), metrics_port=None):
         self.host = f"127.0.0.{number}"
         self.port = free_port()
         self.ready_port = free_port()
@@ -481,7 +485,7 @@
         """Return whether the daemon reports that it is ready."""
         return call(self.host, self.ready_port, "GET", "/readiness").status == 200
 
-    def leave(self):
+    def begin_planned_stop(self):
         """Begin a planned stop."""
         self.daemon.loop.post(self.daemon.leave)
 
@@ -492,14 +496,14 @@
             self._thread.join(5)
 
 
-class Answer:
+class CallerResponse:
     """A response as received by a caller."""
 
-    def __init__(self, status, body, headers, whole):
+    def __init__(self, status, body, headers, complete):
         self.status = status
         self.body = body
         self.header_by_name = headers
-        self.whole = whole
+        self.complete = complete
 
 
 def call(host, port, method, path, body=None, **headers):
@@ -511,11 +515,11 @@
         response = connection.getresponse()
         values = {name.lower(): value for name, value in response.getheaders()}
         try:
-            return Answer(response.status, response.read(), values, True)
+            return CallerResponse(response.status, response.read(), values, True)
         except (http.client.IncompleteRead, OSError) as error:
             partial = getattr(error, "partial", b"")
-            return Answer(response.status, partial, values, False)
+            return CallerResponse(response.status, partial, values, False)
     except (http.client.HTTPException, OSError):
-        return Answer(0, b"", {}, False)
+        return CallerResponse(0, b"", {}, False)
     finally:
         connection.close()
--- a/features/steps/crashing_steps.py
+++ b/features/steps/crashing_steps.py
@@ -6,7 +6,7 @@
 from brassdrum.standins.ports import free_port
 from brassdrum.standins.site import MODEL
 from brassdrum.telemetry import log_events
-from features.gateway_world import ENDING_BODY, HOST, KEY, RunningGateway, call
+from features.gateway_world import CRASHING_BODY, HOST, KEY, RunningGateway, call
 from features.steps.explaining_steps import lines
 from features.steps.gateway_steps import send, start
 from features.steps.site_steps import ENGINE, caller, start_site
@@ -23,7 +23,9 @@
         "X_Key": KEY,
         "X_Deadline_Remaining": "9000",
     }
-    context.answer = call(gateway.host, gateway.port, "POST", f"/{kind}/a", ENDING_BODY, **headers)
+    context.answer = call(
+        gateway.host, gateway.port, "POST", f"/{kind}/a", CRASHING_BODY, **headers
+    )
     return context.answer
 
 
@@ -55,7 +57,7 @@
 def step_gateways(context, daemons, endpoints):
     start(context, daemons, endpoints)
     for endpoint in context.endpoints:
-        endpoint.usual = "stream"
+        endpoint.default_behaviour = "stream"
 
 
 @when("a request that crashes its endpoint arrives {times:d} times, each time at the next daemon")
@@ -125,7 +127,7 @@
 
 @then("at most {count:d} endpoints have crashed")
 def step_at_most(context, count):
-    ended = [each.name for each in context.endpoints if each.ended]
+    ended = [each.name for each in context.endpoints if each.crashed]
     assert len(ended) <= count, ended
 
 
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -10,12 +10,12 @@
 from brassdrum.errors import PlatformUnavailableError
 from brassdrum.gateway.model import EngineModel, RouteKind
 from features.gateway_world import (
-    EVENTS,
+    EVENT_COUNT,
     HOST,
     KEY,
-    QUICK,
-    Answer,
-    Endpoint,
+    SHORT_BOUNDS,
+    CallerResponse,
+    FakeEndpoint,
     FakeStore,
     RunningGateway,
     call,
@@ -27,12 +27,12 @@
 from features.support import eventually
 
 ENGINE = EngineModel(4, 100_000, 1.0, 0.0, 0.0, 150.0, 0.1, 2048, 30)
-ALL_EVENTS = b"".join(event(number) for number in range(1, EVENTS + 1))
+ALL_EVENTS = b"".join(event(number) for number in range(1, EVENT_COUNT + 1))
 
 
-def start(context, daemons, endpoints, engine=None, bounds=QUICK, empty=False, metrics=None):
+def start(context, daemons, endpoints, engine=None, bounds=SHORT_BOUNDS, empty=False, metrics=None):
     context.store = FakeStore()
-    context.endpoints = [Endpoint(f"endpoint-{number}") for number in range(1, endpoints + 1)]
+    context.endpoints = [FakeEndpoint(f"endpoint-{number}") for number in range(1, endpoints + 1)]
     for endpoint in context.endpoints:
         context.stack.push(endpoint.close)
     if not empty:
@@ -97,7 +97,7 @@
 
 @given("a gateway before two endpoints without a budget for repeats")
 def step_no_budget(context):
-    start(context, 1, 2, bounds=replace(QUICK, retry_ratio=0.0, retry_slack=0.0))
+    start(context, 1, 2, bounds=replace(SHORT_BOUNDS, retry_ratio=0.0, retry_slack=0.0))
 
 
 @given("{daemons:d} gateways before two endpoints")
@@ -127,14 +127,14 @@
     context.behaviour = behaviour
     shared = [behaviour]
     for endpoint in context.endpoints:
-        endpoint.script = shared
-        endpoint.usual = "whole"
+        endpoint.queued_behaviours = shared
+        endpoint.default_behaviour = "whole"
 
 
 @given('all requests meet "{behaviour}"')
 def step_all(context, behaviour):
     for endpoint in context.endpoints:
-        endpoint.usual = behaviour
+        endpoint.default_behaviour = behaviour
 
 
 @given("the store lists no endpoint")
@@ -154,7 +154,7 @@
 def step_send(context, kind):
     if kind in ("text", "once"):
         for endpoint in context.endpoints:
-            endpoint.usual = "stream"
+            endpoint.default_behaviour = "stream"
     send(context, kind)
 
 
@@ -206,7 +206,7 @@
             line = ""
     # A closed connection with bytes on their way may take the answer with it.
     status = int(line.split()[1]) if line else 413
-    context.answer = Answer(status, b"", {}, True)
+    context.answer = CallerResponse(status, b"", {}, True)
 
 
 @when('a caller sends a "{kind:w}" and leaves')
@@ -224,7 +224,7 @@
     context.caller = threading.Thread(target=send, args=(context, kind))
     context.caller.start()
     eventually(lambda: received(context), "the endpoint has the request")
-    context.gateways[0].leave()
+    context.gateways[0].begin_planned_stop()
 
 
 @when('a caller sends a "{kind:w}" to the first daemon and waits')
@@ -314,7 +314,7 @@
 def step_follow(context):
     lone = FakeStore()
     lone.current, lone.entries = context.store.current, context.store.entries
-    gateway = RunningGateway(lone, 9, free_port(), QUICK)
+    gateway = RunningGateway(lone, 9, free_port(), SHORT_BOUNDS)
     context.stack.push(gateway.close)
     eventually(gateway.ready, "the lone daemon is ready")
     context.store.calls = lone.calls = 0
@@ -328,7 +328,7 @@
     if hasattr(context, "caller"):
         context.caller.join(15)
     assert context.answer.status == status, (context.answer.status, context.answer.body)
-    assert context.answer.whole
+    assert context.answer.complete
     if body == "all events":
         assert context.answer.body == ALL_EVENTS, context.answer.body
     elif body == "whole":
@@ -343,7 +343,7 @@
 @then("the answer is not whole")
 def step_not_whole(context):
     assert context.answer.status == 200
-    assert not context.answer.whole
+    assert not context.answer.complete
 
 
 @then("endpoints received {count:d} requests")
