--- a/features/steps/crashing_steps.py
+++ b/features/steps/crashing_steps.py
@@ -8,7 +8,7 @@
 from brassdrum.telemetry import log_events
 from features.gateway_world import CRASHING_BODY, HOST, KEY, RunningGateway, call
 from features.steps.explaining_steps import lines
-from features.steps.gateway_steps import send, start
+from features.steps.gateway_steps import send_request, start_gateways
 from features.steps.site_steps import ENGINE, caller, start_site
 from features.support import eventually
 
@@ -55,7 +55,7 @@
 
 @given("{daemons:d} gateways before {endpoints:d} endpoints")
 def step_gateways(context, daemons, endpoints):
-    start(context, daemons, endpoints)
+    start_gateways(context, daemons, endpoints)
     for endpoint in context.endpoints:
         endpoint.default_behaviour = "stream"
 
@@ -144,7 +144,7 @@
 @then("another request to the same path is served by every daemon")
 def step_another_served(context):
     for number in range(len(context.gateways)):
-        assert send(context, "text", number).status == 200
+        assert send_request(context, "text", number).status == 200
 
 
 CRASHING_PROMPT = "ends whoever reads it"
--- a/features/steps/explaining_steps.py
+++ b/features/steps/explaining_steps.py
@@ -18,7 +18,7 @@
 from brassdrum.telemetry.log_events import LOG_EVENTS, markdown_table
 from brassdrum.telemetry.trace import causes_of_loss, read_lines, story_of
 from features.gateway_world import KEY
-from features.steps.gateway_steps import send
+from features.steps.gateway_steps import send_request
 from features.support import eventually
 
 PAGE = Path(__file__).parents[2] / "docs" / "operations" / "logs.md"
@@ -201,7 +201,7 @@
         lambda: any(line.event == "settings kept" for line in lines(context)), "the reason is told"
     )
     assert context.gateways[0].daemon.settings == context.before
-    assert send(context, "check").status == 200
+    assert send_request(context, "check").status == 200
 
 
 @when("the settings are read again with a longer grace time")
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -30,7 +30,9 @@
 ALL_EVENTS = b"".join(event(number) for number in range(1, EVENT_COUNT + 1))
 
 
-def start(context, daemons, endpoints, engine=None, bounds=SHORT_BOUNDS, empty=False, metrics=None):
+def start_gateways(
+    context, daemons, endpoints, engine=None, bounds=SHORT_BOUNDS, empty=False, metrics=None
+):
     context.store = FakeStore()
     context.endpoints = [FakeEndpoint(f"endpoint-{number}") for number in range(1, endpoints + 1)]
     for endpoint in context.endpoints:
@@ -40,7 +42,7 @@
         context.store.current = configuration(7, engine, (brief,))
         context.store.entries = [endpoint.entry() for endpoint in context.endpoints]
     port = free_port()
-    context.stores = [Refusing(context.store) for _ in range(daemons)]
+    context.stores = [RefusableStore(context.store) for _ in range(daemons)]
     context.gateways = [
         RunningGateway(store, number + 2, port, bounds, metrics_port=metrics)
         for number, store in enumerate(context.stores)
@@ -57,20 +59,20 @@
     )
 
 
-class Refusing:
+class RefusableStore:
     """Stand between one daemon and the store."""
 
     def __init__(self, store):
         self._store = store
-        self.refuses = False
+        self.refuse_calls = False
 
     def __getattr__(self, name):
-        if self.refuses and not name.startswith("decode"):
+        if self.refuse_calls and not name.startswith("decode"):
             raise PlatformUnavailableError("The store turns this host away.")
         return getattr(self._store, name)
 
 
-def send(context, kind, gateway=0, **headers):
+def send_request(context, kind, gateway=0, **headers):
     target = context.gateways[gateway]
     number = context.sent = getattr(context, "sent", 0) + 1
     values = {
@@ -86,40 +88,40 @@
     return context.answer
 
 
-def received(context):
+def received_requests(context):
     return [request for endpoint in context.endpoints for request in endpoint.requests]
 
 
 @given("a gateway before two endpoints")
 def step_gateway(context):
-    start(context, 1, 2)
+    start_gateways(context, 1, 2)
 
 
 @given("a gateway before two endpoints without a budget for repeats")
 def step_no_budget(context):
-    start(context, 1, 2, bounds=replace(SHORT_BOUNDS, retry_ratio=0.0, retry_slack=0.0))
+    start_gateways(context, 1, 2, bounds=replace(SHORT_BOUNDS, retry_ratio=0.0, retry_slack=0.0))
 
 
 @given("{daemons:d} gateways before two endpoints")
 def step_gateways(context, daemons):
-    start(context, daemons, 2)
+    start_gateways(context, daemons, 2)
 
 
 @given("a gateway before {engines:d} engines")
 def step_engines(context, engines):
-    start(context, 1, engines, ENGINE)
+    start_gateways(context, 1, engines, ENGINE)
 
 
 @given("a gateway whose metrics port is taken")
 def step_metrics_taken(context):
     taken = socket.create_server(("127.0.0.2", 0))
     context.stack.push(taken.close)
-    start(context, 1, 2, metrics=taken.getsockname()[1])
+    start_gateways(context, 1, 2, metrics=taken.getsockname()[1])
 
 
 @given("a gateway whose store holds nothing")
 def step_empty(context):
-    start(context, 1, 0, empty=True)
+    start_gateways(context, 1, 0, empty=True)
 
 
 @given('the next request meets "{behaviour}"')
@@ -147,7 +149,7 @@
 
 @given("the store refuses the third daemon")
 def step_refuse_third(context):
-    context.stores[2].refuses = True
+    context.stores[2].refuse_calls = True
 
 
 @when('a caller sends a "{kind:w}"')
@@ -155,7 +157,7 @@
     if kind in ("text", "once"):
         for endpoint in context.endpoints:
             endpoint.default_behaviour = "stream"
-    send(context, kind)
+    send_request(context, kind)
 
 
 @when('a caller sends a "{kind:w}" that pauses for long')
@@ -163,28 +165,30 @@
     # Longer than the silence after which an endpoint is given up, shorter than any deadline.
     timer = threading.Timer(2.0, step_go_on, (context,))
     timer.start()
-    send(context, kind)
+    send_request(context, kind)
     timer.join()
 
 
 @when('a caller sends a "{kind:w}" {times:d} times')
 def step_send_times(context, kind, times):
-    context.answers = [send(context, kind) for _ in range(times)]
+    context.answers = [send_request(context, kind) for _ in range(times)]
 
 
 @when('a caller sends a "check" with a forged organisation')
 def step_forged(context):
-    send(context, "check", X_Tenant="org-2", X_Expect_Replica="other", X_Helpers="10.0.0.1:1")
+    send_request(
+        context, "check", X_Tenant="org-2", X_Expect_Replica="other", X_Helpers="10.0.0.1:1"
+    )
 
 
 @when('a caller sends a "check" with the key "{key}"')
 def step_key(context, key):
-    send(context, "check", X_Key=key)
+    send_request(context, "check", X_Key=key)
 
 
 @when("a caller sends a header that is too long")
 def step_long_header(context):
-    send(context, "check", X_Long="x" * 40_000)
+    send_request(context, "check", X_Long="x" * 40_000)
 
 
 @when("a caller sends a body that is too long")
@@ -215,22 +219,22 @@
     connection = socket.create_connection((gateway.host, gateway.port))
     head = f"POST /{kind}/a HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: gone\r\nX-Key: {KEY}\r\n"
     connection.sendall(f"{head}Content-Length: 0\r\n\r\n".encode())
-    eventually(lambda: received(context), "the endpoint has the request")
+    eventually(lambda: received_requests(context), "the endpoint has the request")
     connection.close()
 
 
 @when('a caller sends a "{kind:w}" and the daemon is told to stop')
 def step_send_and_stop(context, kind):
-    context.caller = threading.Thread(target=send, args=(context, kind))
+    context.caller = threading.Thread(target=send_request, args=(context, kind))
     context.caller.start()
-    eventually(lambda: received(context), "the endpoint has the request")
+    eventually(lambda: received_requests(context), "the endpoint has the request")
     context.gateways[0].begin_planned_stop()
 
 
 @when('a caller sends a "{kind:w}" to the first daemon and waits')
 def step_send_and_wait(context, kind):
-    threading.Thread(target=send, args=(context, kind), daemon=True).start()
-    eventually(lambda: received(context), "the endpoint has the request")
+    threading.Thread(target=send_request, args=(context, kind), daemon=True).start()
+    eventually(lambda: received_requests(context), "the endpoint has the request")
 
 
 @when("the endpoint goes on")
@@ -241,17 +245,17 @@
 
 @when("a caller declares a prompt of {tokens:d} tokens")
 def step_prompt(context, tokens):
-    send(context, "text", X_Token_Usage=f"{tokens},10")
+    send_request(context, "text", X_Token_Usage=f"{tokens},10")
 
 
 @when('a caller declares a prompt of {tokens:d} tokens on "{kind:w}" and waits')
 def step_prompt_and_wait(context, tokens, kind):
     usage = f"{tokens},10"
     context.waiting = threading.Thread(
-        target=send, args=(context, kind), kwargs={"X_Token_Usage": usage}, daemon=True
+        target=send_request, args=(context, kind), kwargs={"X_Token_Usage": usage}, daemon=True
     )
     context.waiting.start()
-    eventually(lambda: received(context), "an endpoint has the request")
+    eventually(lambda: received_requests(context), "an endpoint has the request")
 
 
 @then("the kept connection breaks when a request stays unacknowledged for {seconds:d} s")
@@ -290,7 +294,7 @@
     context.before = len(context.endpoints[0].requests)
     for number in range(len(context.gateways)):
         for _ in range(calls):
-            assert send(context, "check", number).status == 200
+            assert send_request(context, "check", number).status == 200
 
 
 @when("the store is away and comes back without the endpoints")
@@ -348,12 +352,14 @@
 
 @then("endpoints received {count:d} requests")
 def step_received(context, count):
-    assert len(received(context)) == count, [each.target for each in received(context)]
+    assert len(received_requests(context)) == count, [
+        each.target for each in received_requests(context)
+    ]
 
 
 @then("the second request resumes after event {number:d}")
 def step_resumes(context, number):
-    resumed = [each.header_by_name.get("last-event-id") for each in received(context)]
+    resumed = [each.header_by_name.get("last-event-id") for each in received_requests(context)]
     assert sorted(resumed, key=str) == [str(number), None], resumed
 
 
@@ -367,7 +373,7 @@
 
 @then('the endpoint got the organisation "{name}" and no key')
 def step_organisation(context, name):
-    headers = received(context)[0].header_by_name
+    headers = received_requests(context)[0].header_by_name
     assert headers["x-tenant"] == name
     assert "x-key" not in headers
     assert "x-helpers" not in headers
@@ -375,7 +381,7 @@
 
 @then("the endpoint got the time that is left and its own name")
 def step_time_left(context):
-    request = received(context)[0]
+    request = received_requests(context)[0]
     headers = request.header_by_name
     assert 0 < int(headers["x-deadline-remaining"]) <= 9000
     assert headers["x-expect-replica"] in {endpoint.name for endpoint in context.endpoints}
@@ -385,11 +391,11 @@
 @then("the endpoint's connection ends")
 def step_connection_ends(context):
     eventually(
-        lambda: all(daemon_idle(each) for each in context.gateways), "the request is given up"
+        lambda: all(has_no_requests(each) for each in context.gateways), "the request is given up"
     )
 
 
-def daemon_idle(gateway):
+def has_no_requests(gateway):
     return not gateway.daemon._exchanges and not gateway.daemon.table._shares_by_request
 
 
@@ -410,7 +416,7 @@
 
 @then("another caller's connection is closed after its answer")
 def step_closed(context):
-    answer = send(context, "check", X_Attempt_Id="late")
+    answer = send_request(context, "check", X_Attempt_Id="late")
     assert answer.header_by_name.get("connection") == "close", answer.header_by_name
     step_go_on(context)
 
@@ -419,7 +425,7 @@
 def step_refuse(context):
     for number in range(len(context.gateways)):
         eventually(
-            lambda number=number: send(context, "check", number).status == 401,
+            lambda number=number: send_request(context, "check", number).status == 401,
             f"daemon {number} refuses the key",
         )
 
@@ -427,7 +433,7 @@
 @then("every daemon still refuses the key")
 def step_still_refuse(context):
     for number in range(len(context.gateways)):
-        assert send(context, "check", number).status == 401
+        assert send_request(context, "check", number).status == 401
 
 
 @then("every daemon comes to know one endpoint")
@@ -470,7 +476,7 @@
 
 @then("the request named helpers with memory")
 def step_helpers(context):
-    helpers = received(context)[0].header_by_name["x-helpers"].split(",")
+    helpers = received_requests(context)[0].header_by_name["x-helpers"].split(",")
     assert any("/" in helper for helper in helpers), helpers
 
 
--- a/features/steps/starting_steps.py
+++ b/features/steps/starting_steps.py
@@ -9,7 +9,7 @@
 from brassdrum.gateway.model import DeclaredRequest, RequestHead
 from brassdrum.gateway.request.early import HeldRequestQueue
 from features.gateway_world import configuration
-from features.steps.gateway_steps import send, start
+from features.steps.gateway_steps import send_request, start_gateways
 
 HEAD = RequestHead(b"GET", b"/", [])
 
@@ -132,7 +132,7 @@
 
 @given("a gateway with one endpoint and an empty store")
 def step_empty_store(context):
-    start(context, 1, 1, empty=True)
+    start_gateways(context, 1, 1, empty=True)
 
 
 @when('a caller sends a "{kind}" and the store receives its records {seconds:g} s later')
@@ -153,7 +153,7 @@
 def send_and_act_later(context, kind, seconds, action):
     timer = threading.Timer(seconds, action)
     timer.start()
-    send(context, kind)
+    send_request(context, kind)
     timer.join()
 
 
