--- a/features/crashing_requests.feature
+++ b/features/crashing_requests.feature
@@ -4,17 +4,17 @@
   other daemons with a new attempt id.
 
   Scenario: An endpoint crash is logged with the requests that were in flight
-    Given a gateway before two endpoints
+    Given a gateway in front of two endpoints
     And its log is kept
     When a request that crashes its endpoint arrives at daemon 1
     Then the log records its content for each of 2 endpoints that crashed
 
   Scenario: A truncated response from a live endpoint is not a crash
-    Given a gateway before two endpoints
+    Given a gateway in front of two endpoints
     And its log is kept
-    And all requests meet "truncated"
+    And the endpoints use the behaviour "truncated" for all requests
     When a caller sends a "check"
-    Then the answer is 502 and ""
+    Then the response is 502 with body ""
     And the log records no endpoint that crashed
 
   Scenario: A request that crashed three endpoints is refused as not run at every daemon
--- a/features/explaining.feature
+++ b/features/explaining.feature
@@ -17,40 +17,40 @@
     And the operators' page lists every event of the table
 
   Scenario: A failed request is explained from its id
-    Given a gateway before two endpoints
+    Given a gateway in front of two endpoints
     And its log is kept
-    And all requests meet "lost"
+    And the endpoints use the behaviour "lost response" for all requests
     When a caller sends a "hold"
-    Then the answer is 502 and ""
+    Then the response is 502 with body ""
     And its story names the endpoint and the cause
 
   Scenario: Requests lost in the same way are counted together
-    Given a gateway before two endpoints
+    Given a gateway in front of two endpoints
     And its log is kept
-    And all requests meet "lost"
+    And the endpoints use the behaviour "lost response" for all requests
     When a caller sends a "hold" 3 times
     Then one cause counts 3 requests and names examples
 
   Scenario: No key and no body reaches a log line
-    Given a gateway before two endpoints
+    Given a gateway in front of two endpoints
     And its log is kept
-    And all requests meet "lost"
+    And the endpoints use the behaviour "lost response" for all requests
     When a caller sends a "hold"
     Then the log names neither the key nor the body
 
   Scenario: Metrics count what happened and show what is believed
-    Given a gateway before two endpoints
+    Given a gateway in front of two endpoints
     When a caller sends a "check" 3 times
     Then the metrics page counts 3 served requests and 2 endpoints
 
   Scenario: Metrics compare each first event with its prediction
-    Given a gateway before 2 engines
-    And all requests meet "stream"
+    Given a gateway in front of 2 engines
+    And the endpoints use the behaviour "stream" for all requests
     When a caller declares a prompt of 5000 tokens
     Then the metrics page compares 1 first event with its prediction
 
   Scenario: Settings are read again on a signal, and broken ones are refused
-    Given a gateway before two endpoints
+    Given a gateway in front of two endpoints
     And its log is kept
     When the settings are read again and are broken
     Then the old settings stay and the log says why
@@ -58,6 +58,6 @@
     Then the new grace time is in force
 
   Scenario: A metrics port that is taken does not keep a daemon from serving
-    Given a gateway whose metrics port is taken
+    Given a gateway whose metrics port is in use
     When a caller sends a "check"
-    Then the answer is 200 and "whole"
+    Then the response is 200 with body "endpoint name"
--- a/features/gateway.feature
+++ b/features/gateway.feature
@@ -1,129 +1,129 @@
-Feature: Requests with declared lengths reach an endpoint and come back unchanged
+Feature: Requests are forwarded to endpoints and their responses returned unchanged
 
   Background:
-    Given a gateway before two endpoints
+    Given a gateway in front of two endpoints
 
-  Scenario Outline: What an endpoint does decides what the caller of a <kind> gets
-    Given the next request meets "<behaviour>"
+  Scenario Outline: The response to a <kind> depends on the behaviour of the endpoint
+    Given the endpoints use the behaviour "<behaviour>" for the next request
     When a caller sends a "<kind>"
-    Then the answer is <status> and "<body>"
+    Then the response is <status> with body "<body>"
     And endpoints received <sends> requests
 
-    Examples: calls that may run again
-      | kind  | behaviour                 | status | body  | sends |
-      | check | whole                     | 200    | whole | 1     |
-      | check | failure                   | 200    | whole | 2     |
-      | check | not run                   | 200    | whole | 2     |
-      | check | another endpoint          | 200    | whole | 2     |
-      | check | lost                      | 200    | whole | 2     |
-      | check | foreign                   | 200    | whole | 2     |
-      | check | unsigned                  | 200    | whole | 2     |
-      | check | truncated                 | 200    | whole | 2     |
-      | check | no answer in the protocol | 200    | whole | 2     |
-      | check | unframed                  | 200    | whole | 1     |
-      | check | unframed and reset        | 200    | whole | 2     |
-      | check | silent                    | 200    | whole | 2     |
-
-    Examples: calls that may run once
-      | kind | behaviour                 | status | body   | sends |
-      | hold | whole                     | 200    | whole  | 1     |
-      | hold | failure                   | 500    | failed | 1     |
-      | hold | not run                   | 200    | whole  | 2     |
-      | hold | another endpoint          | 200    | whole  | 2     |
-      | hold | lost                      | 502    |        | 1     |
-      | hold | foreign                   | 502    |        | 1     |
-      | hold | unsigned                  | 502    |        | 1     |
-      | hold | truncated                 | 502    |        | 1     |
-      | hold | no answer in the protocol | 502    |        | 1     |
-      | hold | plain 503                 | 502    |        | 1     |
-      | hold | unframed and reset        | 502    |        | 1     |
+    Examples: idempotent requests
+      | kind  | behaviour                   | status | body          | sends |
+      | check | complete response           | 200    | endpoint name | 1     |
+      | check | failure                     | 200    | endpoint name | 2     |
+      | check | not executed                | 200    | endpoint name | 2     |
+      | check | another endpoint            | 200    | endpoint name | 2     |
+      | check | lost response               | 200    | endpoint name | 2     |
+      | check | response to another request | 200    | endpoint name | 2     |
+      | check | unsigned                    | 200    | endpoint name | 2     |
+      | check | truncated                   | 200    | endpoint name | 2     |
+      | check | invalid HTTP                | 200    | endpoint name | 2     |
+      | check | no content length           | 200    | endpoint name | 1     |
+      | check | no content length and reset | 200    | endpoint name | 2     |
+      | check | no response                 | 200    | endpoint name | 2     |
+
+    Examples: non-idempotent requests
+      | kind | behaviour                   | status | body          | sends |
+      | hold | complete response           | 200    | endpoint name | 1     |
+      | hold | failure                     | 500    | failed        | 1     |
+      | hold | not executed                | 200    | endpoint name | 2     |
+      | hold | another endpoint            | 200    | endpoint name | 2     |
+      | hold | lost response               | 502    |               | 1     |
+      | hold | response to another request | 502    |               | 1     |
+      | hold | unsigned                    | 502    |               | 1     |
+      | hold | truncated                   | 502    |               | 1     |
+      | hold | invalid HTTP                | 502    |               | 1     |
+      | hold | plain 503                   | 502    |               | 1     |
+      | hold | no content length and reset | 502    |               | 1     |
 
     Examples: streams
-      | kind | behaviour              | status | body       | sends |
-      | text | stream                 | 200    | all events | 1     |
-      | text | stream cut in an event | 200    | all events | 2     |
-      | text | stream with a gap      | 200    | all events | 2     |
-      | text | stream that pauses     | 200    | all events | 2     |
-      | text | lost                   | 200    | all events | 2     |
-      | once | stream                 | 200    | all events | 1     |
-      | once | lost                   | 502    |            | 1     |
-
-  Scenario: A request that may be sent again does not stay unacknowledged for long
-    Given a gateway before two endpoints
-    And all requests meet "whole"
+      | kind | behaviour                    | status | body       | sends |
+      | text | stream                       | 200    | all events | 1     |
+      | text | stream truncated in an event | 200    | all events | 2     |
+      | text | stream with a missing event  | 200    | all events | 2     |
+      | text | stalled stream               | 200    | all events | 2     |
+      | text | lost response                | 200    | all events | 2     |
+      | once | stream                       | 200    | all events | 1     |
+      | once | lost response                | 502    |            | 1     |
+
+  Scenario: An idempotent request does not stay unacknowledged for long
+    Given a gateway in front of two endpoints
+    And the endpoints use the behaviour "complete response" for all requests
     When a caller sends a "check"
-    Then the kept connection breaks when a request stays unacknowledged for 1 s
+    Then the pooled connection fails when a request stays unacknowledged for 1 s
 
-  Scenario: A silent stream goes on where the budget allows no second send
-    Given a gateway before two endpoints without a budget for repeats
-    And all requests meet "slow stream"
-    When a caller sends a "text" that pauses for long
-    Then the answer is 200 and "all events"
+  Scenario: A stalled stream continues when the retry budget allows no second attempt
+    Given a gateway in front of two endpoints without a retry budget
+    And the endpoints use the behaviour "slow stream" for all requests
+    When a caller sends a "text" whose response stalls
+    Then the response is 200 with body "all events"
     And endpoints received 1 requests
 
-  Scenario: A stream that may not run again breaks off visibly
-    Given the next request meets "stream cut in an event"
+  Scenario: An interrupted stream that cannot be resumed is visibly incomplete
+    Given the endpoints use the behaviour "stream truncated in an event" for the next request
     When a caller sends a "once"
-    Then the answer is not whole
+    Then the response is incomplete
     And endpoints received 1 requests
 
-  Scenario: A resumed stream names the last whole event
-    Given the next request meets "stream cut in an event"
+  Scenario: A resumed stream sends the id of the last complete event
+    Given the endpoints use the behaviour "stream truncated in an event" for the next request
     When a caller sends a "text"
     Then the second request resumes after event 2
 
-  Scenario: Bytes after a whole answer never reach another caller
-    Given all requests meet "extra bytes"
+  Scenario: Data after a complete response never reaches another caller
+    Given the endpoints use the behaviour "extra bytes" for all requests
     When a caller sends a "check" 6 times
-    Then each answer is the name of an endpoint
+    Then the body of each response is the name of an endpoint
 
-  Scenario: The key stays here and the organisation goes along
+  Scenario: The key is removed and the organisation is forwarded
     When a caller sends a "check" with a forged organisation
-    Then the endpoint got the organisation "org-1" and no key
-    And the endpoint got the time that is left and its own name
+    Then the endpoint received the organisation "org-1" and no key
+    And the endpoint received the remaining time and its own name
 
-  Scenario: Unknown keys, routes and unreadable requests are refused
+  Scenario: Unknown keys, unknown routes and oversized requests are rejected
     When a caller sends a "check" with the key "stolen"
-    Then the answer is 401 and ""
+    Then the response is 401 with body ""
     When a caller sends a "nowhere"
-    Then the answer is 404 and ""
+    Then the response is 404 with body ""
     When a caller sends a header that is too long
-    Then the answer is 431 and ""
+    Then the response is 431 with body ""
     When a caller sends a body that is too long
-    Then the answer is 413 and ""
+    Then the response is 413 with body ""
     And endpoints received 0 requests
 
-  Scenario: A caller that leaves stops the work
-    Given all requests meet "silent"
-    When a caller sends a "hold" and leaves
-    Then the endpoint's connection ends
+  Scenario: A request is cancelled when its caller disconnects
+    Given the endpoints use the behaviour "no response" for all requests
+    When a caller sends a "hold" and disconnects
+    Then the request at the endpoint is cancelled
 
-  Scenario: A request that the endpoint keeps too long is answered when its route's time is over
-    Given all requests meet "silent"
+  Scenario: A request without a response is answered at the timeout of its route
+    Given the endpoints use the behaviour "no response" for all requests
     When a caller sends a "brief"
-    Then the answer is 504 and ""
+    Then the response is 504 with body ""
 
-  Scenario: Without any endpoint the refusal says when to come back
-    Given the store lists no endpoint
+  Scenario: A request is rejected with a Retry-After header if there is no endpoint
+    Given the store contains no endpoint
     When a caller sends a "hold"
-    Then the answer is 503 and ""
-    And the answer says when to come back
-
-  Scenario: A planned stop finishes the streams that it took
-    Given all requests meet "slow stream"
-    When a caller sends a "text" and the daemon is told to stop
-    And the endpoint goes on
-    Then the answer is 200 and "all events"
+    Then the response is 503 with body ""
+    And the response has a Retry-After header
+
+  Scenario: A planned stop completes the streams in progress
+    Given the endpoints use the behaviour "slow stream" for all requests
+    When a caller sends a "text" and the daemon begins a planned stop
+    And the endpoint resumes the stream
+    Then the response is 200 with body "all events"
     And the daemon has stopped
 
-  Scenario: At the end of the grace time nothing that was sent is called not run
-    Given all requests meet "silent"
-    When a caller sends a "hold" and the daemon is told to stop
-    Then the answer is 502 and ""
+  Scenario: A request that was sent is not reported as not executed after the grace period
+    Given the endpoints use the behaviour "no response" for all requests
+    When a caller sends a "hold" and the daemon begins a planned stop
+    Then the response is 502 with body ""
     And the daemon has stopped
 
-  Scenario: A stopping daemon is not ready at once and closes what it answers
-    Given all requests meet "slow stream"
-    When a caller sends a "text" and the daemon is told to stop
+  Scenario: A stopping daemon is not ready and closes each connection after its response
+    Given the endpoints use the behaviour "slow stream" for all requests
+    When a caller sends a "text" and the daemon begins a planned stop
     Then the daemon is not ready
-    And another caller's connection is closed after its answer
+    And another caller's connection is closed after its response
--- a/features/gateway_world.py
+++ b/features/gateway_world.py
@@ -109,7 +109,7 @@
         self.service = service
         self.slots = slots
         self.queued_behaviours = []
-        self.default_behaviour = "whole"
+        self.default_behaviour = "complete response"
         self.requests = []
         self.orders = []
         self.open_connections = 0
@@ -268,7 +268,7 @@
     return range(start + 1, EVENT_COUNT + 1)
 
 
-@behaviours.register("whole")
+@behaviours.register("complete response")
 def complete_response(endpoint, connection, request):
     """Send a complete response that contains the endpoint's name."""
     send_response(connection, 200, endpoint.name.encode(), request)
@@ -286,7 +286,7 @@
     send_response(connection, 503, b"", request)
 
 
-@behaviours.register("not run")
+@behaviours.register("not executed")
 def not_run(endpoint, connection, request):
     """Reject the request as not executed."""
     send_response(connection, 503, b"", request, seal=False, extra=["X-Not-Executed: 1"])
@@ -298,20 +298,20 @@
     send_response(connection, 421, b"", request, seal=False, extra=["X-Replica-Id: other"])
 
 
-@behaviours.register("lost")
+@behaviours.register("lost response")
 def lost_response(endpoint, connection, request):
     """Execute the request and close the connection without a response."""
     return False
 
 
-@behaviours.register("silent")
+@behaviours.register("no response")
 def silent(endpoint, connection, request):
     """Execute the request and never respond."""
     endpoint.released.wait(20)
     return False
 
 
-@behaviours.register("dark")
+@behaviours.register("unresponsive host")
 def unresponsive(endpoint, connection, request):
     """Stop responding to all requests, like a host that has lost power."""
     endpoint.unresponsive = True
@@ -319,7 +319,7 @@
     return False
 
 
-@behaviours.register("foreign")
+@behaviours.register("response to another request")
 def response_of_another_request(endpoint, connection, request):
     """Send the response of another request."""
     request.header_by_name["x-attempt-id"] = "someone-else"
@@ -340,7 +340,7 @@
     return False
 
 
-@behaviours.register("no answer in the protocol")
+@behaviours.register("invalid HTTP")
 def invalid_http(endpoint, connection, request):
     """Send data that is not HTTP."""
     connection.sendall(b"\x00\x01garbage\r\n\r\n")
@@ -354,14 +354,14 @@
     send_response(connection, 200, b"extra", request)
 
 
-@behaviours.register("unframed")
+@behaviours.register("no content length")
 def no_length(endpoint, connection, request):
     """Send a response without Content-Length that ends with the connection."""
     send_response(connection, 200, endpoint.name.encode(), request, length=False)
     return False
 
 
-@behaviours.register("unframed and reset")
+@behaviours.register("no content length and reset")
 def no_length_then_reset(endpoint, connection, request):
     """Send part of a response without Content-Length and reset the connection."""
     send_response(connection, 200, b"half of an answ", request, length=False)
@@ -377,7 +377,7 @@
     _send_stream(connection, request, _remaining_events(request))
 
 
-@behaviours.register("stream cut in an event")
+@behaviours.register("stream truncated in an event")
 def truncated_event(endpoint, connection, request):
     """Stream two events and part of a third."""
     _send_stream(
@@ -386,13 +386,13 @@
     return False
 
 
-@behaviours.register("stream with a gap")
+@behaviours.register("stream with a missing event")
 def missing_event(endpoint, connection, request):
     """Stream with one event missing."""
     _send_stream(connection, request, [1, 2, 4, 5])
 
 
-@behaviours.register("stream that pauses")
+@behaviours.register("stalled stream")
 def stalled_stream(endpoint, connection, request):
     """Stream two events and stall."""
     _send_stream(connection, request, list(_remaining_events(request))[:2], end=False)
--- a/features/starting.feature
+++ b/features/starting.feature
@@ -51,7 +51,7 @@
   Scenario: A request that arrives before the configuration is served
     Given a gateway with one endpoint and an empty store
     When a caller sends a "check" and the store receives its records 0.2 s later
-    Then the answer is 200 and "whole"
+    Then the response is 200 with body "endpoint name"
 
   Scenario: A held request is refused as not executed when the daemon stops
     Given a gateway with one endpoint and an empty store
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -1,4 +1,4 @@
-"""Steps on running gateways."""
+"""Steps on running gateway daemons."""
 
 import json
 import socket
@@ -55,12 +55,12 @@
         eventually(gateway.ready, f"{gateway.host} is ready")
     eventually(
         lambda: all(each.daemon._peers.live == daemons for each in context.gateways),
-        "the daemons know each other",
+        "the daemons have discovered each other",
     )
 
 
 class RefusableStore:
-    """Stand between one daemon and the store."""
+    """A proxy of the store that can reject the calls of one daemon."""
 
     def __init__(self, store):
         self._store = store
@@ -68,7 +68,7 @@
 
     def __getattr__(self, name):
         if self.refuse_calls and not name.startswith("decode"):
-            raise PlatformUnavailableError("The store turns this host away.")
+            raise PlatformUnavailableError("The store rejects the calls of this host.")
         return getattr(self._store, name)
 
 
@@ -92,54 +92,54 @@
     return [request for endpoint in context.endpoints for request in endpoint.requests]
 
 
-@given("a gateway before two endpoints")
+@given("a gateway in front of two endpoints")
 def step_gateway(context):
     start_gateways(context, 1, 2)
 
 
-@given("a gateway before two endpoints without a budget for repeats")
+@given("a gateway in front of two endpoints without a retry budget")
 def step_no_budget(context):
     start_gateways(context, 1, 2, bounds=replace(SHORT_BOUNDS, retry_ratio=0.0, retry_slack=0.0))
 
 
-@given("{daemons:d} gateways before two endpoints")
+@given("{daemons:d} gateways in front of two endpoints")
 def step_gateways(context, daemons):
     start_gateways(context, daemons, 2)
 
 
-@given("a gateway before {engines:d} engines")
+@given("a gateway in front of {engines:d} engines")
 def step_engines(context, engines):
     start_gateways(context, 1, engines, ENGINE)
 
 
-@given("a gateway whose metrics port is taken")
-def step_metrics_taken(context):
+@given("a gateway whose metrics port is in use")
+def step_metrics_port_in_use(context):
     taken = socket.create_server(("127.0.0.2", 0))
     context.stack.push(taken.close)
     start_gateways(context, 1, 2, metrics=taken.getsockname()[1])
 
 
-@given("a gateway whose store holds nothing")
+@given("a gateway with an empty store")
 def step_empty(context):
     start_gateways(context, 1, 0, empty=True)
 
 
-@given('the next request meets "{behaviour}"')
-def step_next(context, behaviour):
+@given('the endpoints use the behaviour "{behaviour}" for the next request')
+def step_next_behaviour(context, behaviour):
     context.behaviour = behaviour
     shared = [behaviour]
     for endpoint in context.endpoints:
         endpoint.queued_behaviours = shared
-        endpoint.default_behaviour = "whole"
+        endpoint.default_behaviour = "complete response"
 
 
-@given('all requests meet "{behaviour}"')
-def step_all(context, behaviour):
+@given('the endpoints use the behaviour "{behaviour}" for all requests')
+def step_default_behaviour(context, behaviour):
     for endpoint in context.endpoints:
         endpoint.default_behaviour = behaviour
 
 
-@given("the store lists no endpoint")
+@given("the store contains no endpoint")
 def step_no_endpoints(context):
     context.store.entries = []
     eventually(
@@ -147,8 +147,8 @@
     )
 
 
-@given("the store refuses the third daemon")
-def step_refuse_third(context):
+@given("the store rejects calls of the third daemon")
+def step_reject_third(context):
     context.stores[2].refuse_calls = True
 
 
@@ -160,10 +160,10 @@
     send_request(context, kind)
 
 
-@when('a caller sends a "{kind:w}" that pauses for long')
-def step_send_paused(context, kind):
-    # Longer than the silence after which an endpoint is given up, shorter than any deadline.
-    timer = threading.Timer(2.0, step_go_on, (context,))
+@when('a caller sends a "{kind:w}" whose response stalls')
+def step_send_stalled(context, kind):
+    # Longer than the stall timeout of an endpoint, shorter than the deadlines.
+    timer = threading.Timer(2.0, step_resume_stream, (context,))
     timer.start()
     send_request(context, kind)
     timer.join()
@@ -175,7 +175,7 @@
 
 
 @when('a caller sends a "check" with a forged organisation')
-def step_forged(context):
+def step_forged_organisation(context):
     send_request(
         context, "check", X_Tenant="org-2", X_Expect_Replica="other", X_Helpers="10.0.0.1:1"
     )
@@ -202,19 +202,19 @@
             for _ in range(100):
                 connection.sendall(chunk)
         except OSError:
-            pass  # The daemon has answered and closed already.
+            pass  # The daemon has responded and closed the connection.
         connection.settimeout(10)
         try:
             line = connection.recv(4096).decode("latin-1")
         except OSError:
             line = ""
-    # A closed connection with bytes on their way may take the answer with it.
+    # The reset of a connection that was closed with unread data may discard the response.
     status = int(line.split()[1]) if line else 413
     context.answer = CallerResponse(status, b"", {}, True)
 
 
-@when('a caller sends a "{kind:w}" and leaves')
-def step_send_and_leave(context, kind):
+@when('a caller sends a "{kind:w}" and disconnects')
+def step_send_and_disconnect(context, kind):
     gateway = context.gateways[0]
     connection = socket.create_connection((gateway.host, gateway.port))
     head = f"POST /{kind}/a HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: gone\r\nX-Key: {KEY}\r\n"
@@ -223,7 +223,7 @@
     connection.close()
 
 
-@when('a caller sends a "{kind:w}" and the daemon is told to stop')
+@when('a caller sends a "{kind:w}" and the daemon begins a planned stop')
 def step_send_and_stop(context, kind):
     context.caller = threading.Thread(target=send_request, args=(context, kind))
     context.caller.start()
@@ -237,8 +237,8 @@
     eventually(lambda: received_requests(context), "the endpoint has the request")
 
 
-@when("the endpoint goes on")
-def step_go_on(context):
+@when("the endpoint resumes the stream")
+def step_resume_stream(context):
     for endpoint in context.endpoints:
         endpoint.released.set()
 
@@ -258,7 +258,7 @@
     eventually(lambda: received_requests(context), "an endpoint has the request")
 
 
-@then("the kept connection breaks when a request stays unacknowledged for {seconds:d} s")
+@then("the pooled connection fails when a request stays unacknowledged for {seconds:d} s")
 def step_unacknowledged(context, seconds):
     idle = context.gateways[0].daemon.pool._idle_by_address
     sockets = [each._transport._socket for kept in idle.values() for each in kept]
@@ -266,67 +266,67 @@
     assert bounds == [seconds * 1000], bounds
 
 
-@then("the caller still waits")
+@then("the caller is still waiting")
 def step_still_waits(context):
     assert context.waiting.is_alive()
 
 
-@when("version {version:d} of the configuration drops the key")
+@when("version {version:d} of the configuration removes the key")
 def step_drop_key(context, version):
     context.store.current = configuration(version, keys=("other",))
 
 
-@when("an older version is written again")
-def step_older(context):
+@when("an older version of the configuration is stored")
+def step_older_version(context):
     context.store.current = configuration(6)
     reads = context.store.calls
     eventually(lambda: context.store.calls > reads + 4, "the store was read again")
 
 
-@when("the first endpoint reports that it drains")
-def step_drain(context):
+@when("the first endpoint reports that it is draining")
+def step_draining(context):
     first, second = context.endpoints
     context.store.entries = [first.entry(draining=True), second.entry()]
 
 
-@when("each daemon serves {calls:d} calls")
-def step_calls(context, calls):
-    context.before = len(context.endpoints[0].requests)
+@when("each daemon serves {calls:d} requests")
+def step_serves(context, calls):
+    context.requests_before = len(context.endpoints[0].requests)
     for number in range(len(context.gateways)):
         for _ in range(calls):
             assert send_request(context, "check", number).status == 200
 
 
-@when("the store is away and comes back without the endpoints")
-def step_store_away(context):
+@when("the store is unavailable and returns without the endpoints")
+def step_store_outage(context):
     knowledge = context.gateways[0].daemon.knowledge
     context.store.down = True
     reads = context.store.calls
-    eventually(lambda: context.store.calls > reads + 2, "the store was asked")
-    # As after an absence that is longer than any pause between reads.
+    eventually(lambda: context.store.calls > reads + 2, "the store was read")
+    # As after an outage longer than the read interval.
     knowledge._away = True
     context.store.entries = []
     context.store.down = False
 
 
-@when("the first daemon dies")
-def step_die(context):
+@when("the first daemon crashes")
+def step_crash(context):
     context.gateways[0].close()
 
 
-@when("the daemons have followed the store for a while")
-def step_follow(context):
-    lone = FakeStore()
-    lone.current, lone.entries = context.store.current, context.store.entries
-    gateway = RunningGateway(lone, 9, free_port(), SHORT_BOUNDS)
+@when("the daemons have polled the store for a while")
+def step_polled(context):
+    single_store = FakeStore()
+    single_store.current, single_store.entries = context.store.current, context.store.entries
+    gateway = RunningGateway(single_store, 9, free_port(), SHORT_BOUNDS)
     context.stack.push(gateway.close)
-    eventually(gateway.ready, "the lone daemon is ready")
-    context.store.calls = lone.calls = 0
-    eventually(lambda: lone.calls >= 16, "the lone daemon has read the store")
-    context.lone_calls = lone.calls
+    eventually(gateway.ready, "the single daemon is ready")
+    context.store.calls = single_store.calls = 0
+    eventually(lambda: single_store.calls >= 16, "the single daemon has read the store")
+    context.single_daemon_calls = single_store.calls
 
 
-@then("the answer is {status:d} and {body}")
+@then("the response is {status:d} with body {body}")
 def step_answer(context, status, body):
     body = body.strip('"')
     if hasattr(context, "caller"):
@@ -335,7 +335,7 @@
     assert context.answer.complete
     if body == "all events":
         assert context.answer.body == ALL_EVENTS, context.answer.body
-    elif body == "whole":
+    elif body == "endpoint name":
         assert context.answer.body.decode() in {each.name for each in context.endpoints}
         assert context.answer.header_by_name["x-replica-seal"] == "seal-1"
     else:
@@ -344,8 +344,8 @@
         assert "x-replica-seal" not in context.answer.header_by_name
 
 
-@then("the answer is not whole")
-def step_not_whole(context):
+@then("the response is incomplete")
+def step_incomplete(context):
     assert context.answer.status == 200
     assert not context.answer.complete
 
@@ -363,15 +363,15 @@
     assert sorted(resumed, key=str) == [str(number), None], resumed
 
 
-@then("each answer is the name of an endpoint")
-def step_names(context):
+@then("the body of each response is the name of an endpoint")
+def step_endpoint_names(context):
     names = {endpoint.name for endpoint in context.endpoints}
     for answer in context.answers:
         assert answer.status == 200
         assert answer.body.decode() in names, answer.body
 
 
-@then('the endpoint got the organisation "{name}" and no key')
+@then('the endpoint received the organisation "{name}" and no key')
 def step_organisation(context, name):
     headers = received_requests(context)[0].header_by_name
     assert headers["x-tenant"] == name
@@ -379,8 +379,8 @@
     assert "x-helpers" not in headers
 
 
-@then("the endpoint got the time that is left and its own name")
-def step_time_left(context):
+@then("the endpoint received the remaining time and its own name")
+def step_remaining_time(context):
     request = received_requests(context)[0]
     headers = request.header_by_name
     assert 0 < int(headers["x-deadline-remaining"]) <= 9000
@@ -388,10 +388,10 @@
     assert request.target == "/check/a?b=c"
 
 
-@then("the endpoint's connection ends")
-def step_connection_ends(context):
+@then("the request at the endpoint is cancelled")
+def step_request_cancelled(context):
     eventually(
-        lambda: all(has_no_requests(each) for each in context.gateways), "the request is given up"
+        lambda: all(has_no_requests(each) for each in context.gateways), "the request is cancelled"
     )
 
 
@@ -399,7 +399,7 @@
     return not gateway.daemon._exchanges and not gateway.daemon.table._shares_by_request
 
 
-@then("the answer says when to come back")
+@then("the response has a Retry-After header")
 def step_retry_after(context):
     assert float(context.answer.header_by_name["retry-after"]) > 0
 
@@ -414,29 +414,29 @@
     assert not context.gateways[0].ready()
 
 
-@then("another caller's connection is closed after its answer")
+@then("another caller's connection is closed after its response")
 def step_closed(context):
     answer = send_request(context, "check", X_Attempt_Id="late")
     assert answer.header_by_name.get("connection") == "close", answer.header_by_name
-    step_go_on(context)
+    step_resume_stream(context)
 
 
-@then("every daemon comes to refuse the key")
-def step_refuse(context):
+@then("every daemon eventually rejects the key")
+def step_reject(context):
     for number in range(len(context.gateways)):
         eventually(
             lambda number=number: send_request(context, "check", number).status == 401,
-            f"daemon {number} refuses the key",
+            f"daemon {number} rejects the key",
         )
 
 
-@then("every daemon still refuses the key")
-def step_still_refuse(context):
+@then("every daemon still rejects the key")
+def step_still_reject(context):
     for number in range(len(context.gateways)):
         assert send_request(context, "check", number).status == 401
 
 
-@then("every daemon comes to know one endpoint")
+@then("every daemon eventually knows one endpoint")
 def step_one_endpoint(context):
     for gateway in context.gateways:
         eventually(
@@ -445,36 +445,36 @@
         )
 
 
-@then("the first endpoint received no request after that")
-def step_none_after(context):
-    assert len(context.endpoints[0].requests) == context.before
+@then("the first endpoint received no further request")
+def step_no_further_request(context):
+    assert len(context.endpoints[0].requests) == context.requests_before
 
 
 @then("the daemon still knows {count:d} endpoints")
 def step_knows(context, count):
     knowledge = context.gateways[0].daemon.knowledge
     read_at = knowledge.read_at
-    eventually(lambda: knowledge.read_at > read_at, "the store was read after its return")
+    eventually(lambda: knowledge.read_at > read_at, "the store was read after the outage")
     assert len(knowledge.endpoints_by_id) == count
 
 
-@then("the daemon comes to know none")
+@then("the daemon eventually knows no endpoint")
 def step_knows_none(context):
     knowledge = context.gateways[0].daemon.knowledge
-    eventually(lambda: not knowledge.endpoints_by_id, "the lapsed endpoints are gone")
+    eventually(lambda: not knowledge.endpoints_by_id, "the expired endpoints are removed")
 
 
-@then("the second daemon comes to see {calls:d} call in flight")
-@then("the second daemon comes to see {calls:d} calls in flight")
+@then("the second daemon eventually sees {calls:d} call in flight")
+@then("the second daemon eventually sees {calls:d} calls in flight")
 def step_sees(context, calls):
     table = context.gateways[1].daemon.table
     eventually(
         lambda: sum(table.total(each.name).calls for each in context.endpoints) == calls,
-        f"{calls} calls are seen",
+        f"{calls} calls are reported",
     )
 
 
-@then("the request named helpers with memory")
+@then("the request named helpers with reserved memory")
 def step_helpers(context):
     helpers = received_requests(context)[0].header_by_name["x-helpers"].split(",")
     assert any("/" in helper for helper in helpers), helpers
@@ -486,9 +486,15 @@
         orders = [json.loads(text) for each in context.endpoints for text in each.orders]
         return {order["id"] for order in orders if order["op"] == op}
 
-    eventually(lambda: names("reserve") and names("reserve") == names("release"), "all is released")
+    eventually(
+        lambda: names("reserve") and names("reserve") == names("release"),
+        "all reservations are released",
+    )
 
 
-@then("the store was read little more often than by one daemon")
+@then("the store was read less than twice as often as by one daemon")
 def step_few_reads(context):
-    assert context.store.calls < 2 * context.lone_calls, (context.store.calls, context.lone_calls)
+    assert context.store.calls < 2 * context.single_daemon_calls, (
+        context.store.calls,
+        context.single_daemon_calls,
+    )
