--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -7,7 +7,7 @@
 from brassdrum.bench.load.loop import SimulatedLoop
 from brassdrum.gateway.guards.crash_guard import CrashGuard
 from brassdrum.gateway.model import DeclaredRequest, EndpointEntry, RouteKind
-from brassdrum.gateway.net.upstream import Break, EndpointCall
+from brassdrum.gateway.net.upstream import CallFailure, EndpointCall
 from brassdrum.gateway.placing.load import LoadTable
 from brassdrum.gateway.placing.placement import Placement
 from brassdrum.gateway.request.exchange import Exchange
@@ -145,7 +145,7 @@
 def step_unreachable(context):
     start_exchange(context)
     context.fail = lambda: context.daemon.pool.calls[0].owner.broken(
-        Break.NOT_SENT, "connection refused"
+        CallFailure.NOT_SENT, "connection refused"
     )
 
 
@@ -153,7 +153,7 @@
 def step_unreachable_with_timeout(context, timeout):
     start_exchange(context, timeout)
     context.fail = lambda: context.daemon.pool.calls[0].owner.broken(
-        Break.NOT_SENT, "connection refused"
+        CallFailure.NOT_SENT, "connection refused"
     )
 
 
--- a/src/brassdrum/gateway/net/upstream.py
+++ b/src/brassdrum/gateway/net/upstream.py
@@ -15,7 +15,7 @@
 from brassdrum.gateway.net.loop import EventLoop, Timer
 from brassdrum.gateway.net.transport import Transport
 
-__all__ = ["Break", "CallOwner", "EndpointCall", "EndpointPool", "OutgoingRequest"]
+__all__ = ["CallFailure", "CallOwner", "EndpointCall", "EndpointPool", "OutgoingRequest"]
 
 # A handshake between zones takes about 5 ms.
 _CONNECT_TIMEOUT_SECONDS = 0.3
@@ -31,7 +31,7 @@
 _MAX_HEADER_BYTES = 65536
 
 
-class Break(Enum):
+class CallFailure(Enum):
     """How far a call had progressed when its connection was lost."""
 
     NOT_SENT = auto()
@@ -61,7 +61,7 @@
     def answered(self) -> None:
         """Handle the end of a complete response."""
 
-    def broken(self, how: Break, detail: str) -> None:
+    def broken(self, how: CallFailure, detail: str) -> None:
         """Handle a lost connection or an invalid response."""
 
 
@@ -204,11 +204,11 @@
         if call is None:
             return
         if not call.sent:
-            call.owner.broken(Break.NOT_SENT, detail)
+            call.owner.broken(CallFailure.NOT_SENT, detail)
         elif call.began:
-            call.owner.broken(Break.ANSWER_CUT, detail)
+            call.owner.broken(CallFailure.ANSWER_CUT, detail)
         else:
-            call.owner.broken(Break.MAY_HAVE_RUN, detail)
+            call.owner.broken(CallFailure.MAY_HAVE_RUN, detail)
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
@@ -252,7 +252,7 @@
             connection = EndpointConnection(self, self._loop, address)
             self.opened += 1
         if connection.failed:
-            self._loop.post(lambda: owner.broken(Break.NOT_SENT, "connect failed"))
+            self._loop.post(lambda: owner.broken(CallFailure.NOT_SENT, "connect failed"))
             return call
         call.connection = connection
         if not fresh:
--- a/src/brassdrum/gateway/placing/reservations.py
+++ b/src/brassdrum/gateway/placing/reservations.py
@@ -7,7 +7,7 @@
 
 from brassdrum.gateway.model import Dialect, Headers, Reservation
 from brassdrum.gateway.net.loop import EventLoop, Timer
-from brassdrum.gateway.net.upstream import Break, EndpointCall, EndpointPool, OutgoingRequest
+from brassdrum.gateway.net.upstream import CallFailure, EndpointCall, EndpointPool, OutgoingRequest
 
 __all__ = ["Hold", "Reservations"]
 
@@ -62,7 +62,7 @@
         """Take a whole answer."""
         self._finish(self._status)
 
-    def broken(self, how: Break, detail: str) -> None:
+    def broken(self, how: CallFailure, detail: str) -> None:
         """Take a broken connection as no answer."""
         _logger.info("order not answered", extra={"how": how.name, "detail": detail})
         self._finish(_NO_ANSWER)
--- a/src/brassdrum/gateway/request/attempt.py
+++ b/src/brassdrum/gateway/request/attempt.py
@@ -14,7 +14,7 @@
     Route,
 )
 from brassdrum.gateway.net.loop import EventLoop
-from brassdrum.gateway.net.upstream import Break, EndpointCall, EndpointPool, OutgoingRequest
+from brassdrum.gateway.net.upstream import CallFailure, EndpointCall, EndpointPool, OutgoingRequest
 from brassdrum.gateway.placing.load import LoadTable
 from brassdrum.gateway.placing.placement import Helper, Placement
 from brassdrum.gateway.placing.reservations import Hold, Reservations
@@ -71,7 +71,7 @@
     def attempt_completed(self, attempt: Attempt) -> None:
         """Handle the end of a complete response."""
 
-    def attempt_connection_lost(self, attempt: Attempt, how: Break, detail: str) -> None:
+    def attempt_connection_lost(self, attempt: Attempt, how: CallFailure, detail: str) -> None:
         """Handle a lost connection."""
 
 
@@ -203,7 +203,7 @@
         if not self._finished:
             self._owner.attempt_completed(self)
 
-    def broken(self, how: Break, detail: str) -> None:
+    def broken(self, how: CallFailure, detail: str) -> None:
         """Handle a lost connection."""
         if not self._finished:
             self._owner.attempt_connection_lost(self, how, detail)
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -16,7 +16,7 @@
 )
 from brassdrum.gateway.net.callers import CallerConnection
 from brassdrum.gateway.net.loop import Timer
-from brassdrum.gateway.net.upstream import Break, OutgoingRequest
+from brassdrum.gateway.net.upstream import CallFailure, OutgoingRequest
 from brassdrum.gateway.placing.placement import Need, Placement, Verdict, judge
 from brassdrum.gateway.request.attempt import Attempt, helper_name
 from brassdrum.gateway.request.events import EventOrderError, EventStreamReader
@@ -209,16 +209,16 @@
         self._finish(Outcome.SERVED, reply.status, "")
         self._connection.end()
 
-    def attempt_connection_lost(self, attempt: Attempt, how: Break, detail: str) -> None:
+    def attempt_connection_lost(self, attempt: Attempt, how: CallFailure, detail: str) -> None:
         """Retry the request where its route permits that."""
         attempt.finish()
-        if how is Break.NOT_SENT:
+        if how is CallFailure.NOT_SENT:
             self._context.beliefs.endpoint_failed(attempt.endpoint, certain=True, detail=detail)
             self.send_count -= 1
             self._unsent_attempts += 1
             self._retry_not_executed(attempt, detail)
             return
-        response_started = how is Break.ANSWER_CUT
+        response_started = how is CallFailure.ANSWER_CUT
         reached = response_started or not attempt.reused_connection
         lost = LostRequest(
             self.request.id, self.content_fingerprint, response_started, reached, attempt.sent_at
