--- a/features/steps/starting_steps.py
+++ b/features/steps/starting_steps.py
@@ -17,7 +17,7 @@
 class FakeHandler:
     """Handler of a request that is being processed."""
 
-    def caller_left(self):
+    def caller_disconnected(self):
         """Ignore the disconnect."""
 
 
@@ -59,7 +59,7 @@
 
 @when("caller {caller:w} disconnects")
 def step_caller_disconnects(context, caller):
-    context.held_by_caller[caller].caller_left()
+    context.held_by_caller[caller].caller_disconnected()
 
 
 @when("{count:d} callers send requests with a timeout of {timeout:g} s")
--- a/src/brassdrum/bench/load/play.py
+++ b/src/brassdrum/bench/load/play.py
@@ -234,7 +234,7 @@
             self._count.left += 1
             self._count.held.append(silent)
             assert self._exchange is not None
-            self._exchange.caller_left()
+            self._exchange.caller_disconnected()
 
         self._fleet.loop.call_later(patience, look)
 
--- a/src/brassdrum/gateway/net/callers.py
+++ b/src/brassdrum/gateway/net/callers.py
@@ -36,7 +36,7 @@
 class CallerHandler(Protocol):
     """Processes one request."""
 
-    def caller_left(self) -> None:
+    def caller_disconnected(self) -> None:
         """Handle the loss of the caller's connection before the response is complete."""
 
 
@@ -306,7 +306,7 @@
         self._responding = False
         self._close()
         if handler is not None:
-            handler.caller_left()
+            handler.caller_disconnected()
 
     def _close(self) -> None:
         self._stop_timer()
--- a/src/brassdrum/gateway/request/early.py
+++ b/src/brassdrum/gateway/request/early.py
@@ -42,12 +42,12 @@
     timer: Timer | None = None
     handler: CallerHandler | None = None
 
-    def caller_left(self) -> None:
+    def caller_disconnected(self) -> None:
         """Drop the request, or tell its handler once it is being processed."""
         if self.handler is None:
             self.on_caller_left(self)
             return
-        self.handler.caller_left()
+        self.handler.caller_disconnected()
 
 
 class HeldRequestQueue:
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -128,7 +128,7 @@
         """Make the first attempt."""
         self._dispatch()
 
-    def caller_left(self) -> None:
+    def caller_disconnected(self) -> None:
         """Cancel the request after its caller has disconnected."""
         self._cancel_attempt()
         self._finish(Outcome.CALLER_LEFT, 0, "the caller closed its connection")
