--- a/features/gateway_world.py
+++ b/features/gateway_world.py
@@ -19,7 +19,7 @@
     RouteKind,
     RouteTarget,
     Service,
-    SharedRecord,
+    StoreRecord,
 )
 from brassdrum.platform.dialect import PlatformDialect
 from brassdrum.registry import Registry
@@ -74,7 +74,7 @@
         self._call()
         return list(self.quarantine_by_content.values())
 
-    def keep_quarantine(self, record):
+    def save_quarantine(self, record):
         """Keep a record, or drop it where the value is empty."""
         self._call()
         if record.value:
@@ -98,7 +98,7 @@
     def _record(self, key, value):
         text = repr(value).encode()
         self._object_by_value[text] = value
-        return SharedRecord(key, text)
+        return StoreRecord(key, text)
 
 
 class Endpoint:
@@ -424,7 +424,7 @@
         "priority": 1,
         "max_attempts": 2,
         "targets": (RouteTarget(SERVICE, 1.0),),
-        "longest_pause": 0.25,
+        "pause_objective": 0.25,
     }
     return Route(name, HOST, f"/{name}/", kind, **{**values, **fields})
 
--- a/features/steps/endpoint_list_steps.py
+++ b/features/steps/endpoint_list_steps.py
@@ -14,7 +14,13 @@
 from brassdrum.gateway.following.follower import Follower, Snapshot
 from brassdrum.gateway.following.routing_state import RoutingState
 from brassdrum.gateway.guards.crash_guard import CrashGuard
-from brassdrum.gateway.model import Bounds, DeclaredRequest, EndpointEntry, Sending, SharedRecord
+from brassdrum.gateway.model import (
+    AttemptParameters,
+    Bounds,
+    DeclaredRequest,
+    EndpointEntry,
+    StoreRecord,
+)
 from brassdrum.gateway.net.upstream import EndpointPool
 from brassdrum.gateway.placing.load import EndpointLoad, LoadRow, LoadTable, endpoint_key
 from brassdrum.platform.dialect import PlatformDialect
@@ -74,9 +80,9 @@
 def step_invalid_entry(context, fault):
     good = json.dumps(ENTRY).encode()
     context.records = (
-        SharedRecord("engine-1", good),
-        SharedRecord("engine-2", faults.get(fault).encode("latin-1")),
-        SharedRecord("engine-3", good),
+        StoreRecord("engine-1", good),
+        StoreRecord("engine-2", faults.get(fault).encode("latin-1")),
+        StoreRecord("engine-3", good),
     )
 
 
@@ -221,5 +227,7 @@
 @then("a request to a restarted endpoint carries the endpoint's name")
 def step_wire_name(context):
     request = DeclaredRequest("r", b"POST", b"/", "host", [], 1.0)
-    headers = PlatformDialect().endpoint_headers(request, Sending(entry(7), (), None, 1, 1.0, None))
+    headers = PlatformDialect().endpoint_headers(
+        request, AttemptParameters(entry(7), (), None, 1, 1.0, None)
+    )
     assert (b"X-Expect-Replica", b"engine-1") in headers
--- a/features/steps/gateway_adapter_steps.py
+++ b/features/steps/gateway_adapter_steps.py
@@ -160,11 +160,11 @@
 def step_configuration(context):
     decoded = decode_configuration(json.dumps(CONFIGURATION).encode())
     first, second = decoded.routes
-    assert (first.timeout, first.objective, first.longest_pause) == (10.0, 0.3, 0.25)
+    assert (first.timeout, first.objective, first.pause_objective) == (10.0, 0.3, 0.25)
     assert first.repeatable
     assert [target.weight for target in first.targets] == [90, 10]
     assert second.kind is RouteKind.NON_IDEMPOTENT
-    assert decoded.services_by_name["pool"].engine.read_per_ms == 154.0
+    assert decoded.services_by_name["pool"].engine.prefill_tokens_per_ms == 154.0
     assert decoded.services_by_name["shop"].engine is None
     assert decoded.organisations[0].keys == {"k1", "k2"}
 
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -178,7 +178,7 @@
 
 @then("every engine stores less than its memory")
 def step_memory(context):
-    assert all(share.memory < ENGINE.memory for share in context.placement.shares)
+    assert all(share.memory < ENGINE.memory_tokens for share in context.placement.shares)
 
 
 @then("the stored parts make up the prompt")
--- a/features/steps/gateway_knowledge_steps.py
+++ b/features/steps/gateway_knowledge_steps.py
@@ -10,7 +10,7 @@
 from brassdrum.gateway.model import (
     Bounds,
     EndpointEntry,
-    SharedRecord,
+    StoreRecord,
 )
 from features.gateway_world import engine_entry
 
@@ -144,7 +144,7 @@
 
 @given("a daemon that read a list and then got a report that an endpoint is draining")
 def step_received_report(context):
-    listed = Snapshot(None, (SharedRecord("engine-1", b""), SharedRecord("engine-2", b"")))
+    listed = Snapshot(None, (StoreRecord("engine-1", b""), StoreRecord("engine-2", b"")))
     routing_state, context.sender = follower_that_pulled(listed.encode())
     assert routing_state.mark_draining("engine-1", 95.0)
 
--- a/features/steps/guard_steps.py
+++ b/features/steps/guard_steps.py
@@ -12,7 +12,7 @@
 from brassdrum.errors import ContentQuarantinedError
 from brassdrum.gateway.guards.crash_guard import CrashGuard
 from brassdrum.gateway.guards.endings import AffectedRequest
-from brassdrum.gateway.model import SharedRecord
+from brassdrum.gateway.model import StoreRecord
 from brassdrum.gateway.placing.load import LoadShare, LoadTable, endpoint_key
 from brassdrum.outcomes.quarantine import ContentStatus, CrashReport, ObservedCrash
 from brassdrum.telemetry.log_events import QUARANTINE_NOT_KEPT
@@ -112,7 +112,7 @@
         """Return the stored records."""
         return self.listed
 
-    def keep_quarantine(self, record):
+    def save_quarantine(self, record):
         """Record a submitted record."""
         self.records.append(record)
 
@@ -234,7 +234,7 @@
 
 @given("the store holds the empty record of a released content")
 def step_released_record(context):
-    context.store.listed = [SharedRecord(content("a"), b"")]
+    context.store.listed = [StoreRecord(content("a"), b"")]
     context.logged = RecordedMessages()
     logger = logging.getLogger("brassdrum.gateway.guards.crash_guard")
     logger.addHandler(context.logged)
--- a/src/brassdrum/bench/load/daemon.py
+++ b/src/brassdrum/bench/load/daemon.py
@@ -13,6 +13,7 @@
 from brassdrum.gateway.guards.crash_guard import CrashGuard
 from brassdrum.gateway.guards.endings import LostRequest
 from brassdrum.gateway.model import (
+    AttemptParameters,
     DaemonAddress,
     DeclaredRequest,
     EndpointEntry,
@@ -21,7 +22,6 @@
     Reply,
     ReplyKind,
     Reservation,
-    Sending,
 )
 from brassdrum.gateway.net.upstream import OutgoingRequest
 from brassdrum.gateway.peering.peer_messages import PeerStatus
@@ -125,7 +125,7 @@
 @dataclass(frozen=True, slots=True)
 class _Sent:
     request: DeclaredRequest
-    sending: Sending
+    sending: AttemptParameters
 
 
 class _Dialect:
@@ -137,10 +137,10 @@
         self._daemon = daemon
         self._numbers = itertools.count()
 
-    def endpoint_headers(self, request: DeclaredRequest, sending: Sending) -> Headers:
+    def endpoint_headers(self, request: DeclaredRequest, parameters: AttemptParameters) -> Headers:
         """Note what is sent and return its number."""
         number = b"%d" % next(self._numbers)
-        self._daemon.sendings[number] = _Sent(request, sending)
+        self._daemon.sendings[number] = _Sent(request, parameters)
         return [(_SENDING, number)]
 
     def read_reply(self, _request: DeclaredRequest, status: int, headers: Headers) -> Reply:
--- a/src/brassdrum/bench/load/engine.py
+++ b/src/brassdrum/bench/load/engine.py
@@ -104,7 +104,7 @@
         while self._queue and len(self._running) < self._model.slots:
             run = self._queue[0]
             own = run.prompt_tokens - sum(run.stored.values())
-            if self._running and self._memory() + own > self._model.memory:
+            if self._running and self._memory() + own > self._model.memory_tokens:
                 return
             self._queue.popleft()
             self._running.append(run)
@@ -115,7 +115,8 @@
         tokens = max(1, run.prompt_tokens // members)
         pairs = run.prompt_tokens**2 / 2 / members / _PAIRS_PER_UNIT
         ms_per_token = (
-            1 / self._model.read_per_ms + pairs * self._model.pairs_ms_per_million / tokens
+            1 / self._model.prefill_tokens_per_ms
+            + pairs * self._model.ms_per_million_token_pairs / tokens
         )
         run.unread = members
         self._own.append(_Part(run, tokens, ms_per_token))
@@ -125,8 +126,8 @@
     def _pass(self) -> None:
         self._admit()
         writing = sum(1 for run in self._running if not run.reads)
-        chunks = self._model.stride if writing else _CHUNKS_WITHOUT_STREAMS
-        seconds = self._read(chunks * self._model.chunk) / 1000
+        chunks = self._model.steps_per_pass if writing else _CHUNKS_WITHOUT_STREAMS
+        seconds = self._read(chunks * self._model.chunk_tokens) / 1000
         writers = [run for run in self._running if not run.reads]
         if writers:
             context = sum(run.prompt_tokens for run in writers)
--- a/src/brassdrum/bench/load/play.py
+++ b/src/brassdrum/bench/load/play.py
@@ -165,7 +165,7 @@
         name = f"{id(self)}-{self._tries}"
         self._daemon = self._random.choice(self._fleet.daemons)
         self._daemon.events_by_request[name] = self._arrival.events
-        tokens = self._arrival.events * ENGINE.stride
+        tokens = self._arrival.events * ENGINE.steps_per_pass
         request = DeclaredRequest(
             name, b"POST", b"/", "host", [], left, None, self._arrival.prompt, tokens
         )
@@ -260,5 +260,5 @@
         priority=1,
         max_attempts=2,
         resumable=True,
-        longest_pause=kind.pause,
+        pause_objective=kind.pause,
     )
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -98,7 +98,7 @@
             self.pool,
             dialect,
             # A daemon that died renews nothing: its holds end before the platform calls them lost.
-            min(bounds.reservation_longest, bounds.reservation_idle * _HOLD_SHARE),
+            min(bounds.max_reservation, bounds.reservation_release * _HOLD_SHARE),
         )
         self._numbers = itertools.count(1)
         self._random = rng or random.Random()
@@ -265,7 +265,7 @@
 
     def _refuse_early(self, early: HeldRequest, detail: str) -> None:
         """Ask a caller to come back as late as it does: nobody knows when the store is back."""
-        left = early.request.patience - (self.loop.now() - early.arrived)
+        left = early.request.timeout - (self.loop.now() - early.arrived)
         seconds = _LEAVING_RETRY_SECONDS if self.closing() else max_retry_after(left)
         self._refuse(early.connection, Refusal(503, detail, seconds, early.request.id))
 
--- a/src/brassdrum/gateway/following/follower.py
+++ b/src/brassdrum/gateway/following/follower.py
@@ -22,7 +22,7 @@
     ControlStore,
     DaemonAddress,
     EndpointEntry,
-    SharedRecord,
+    StoreRecord,
 )
 from brassdrum.gateway.net.loop import EventLoop, Timer
 from brassdrum.gateway.peering.peer_messages import PeerStatus
@@ -66,8 +66,8 @@
     store.
     """
 
-    configuration: SharedRecord | None
-    endpoints: tuple[SharedRecord, ...]
+    configuration: StoreRecord | None
+    endpoints: tuple[StoreRecord, ...]
     leaving: tuple[str, ...] = ()
     era: int | None = None
 
@@ -92,9 +92,9 @@
         except zlib.error as error:
             raise ValueError(f"cannot decompress the peer's snapshot: {error}") from error
         value = content["configuration"]
-        record = None if value is None else SharedRecord("config", base64.b64decode(value))
+        record = None if value is None else StoreRecord("config", base64.b64decode(value))
         endpoints = tuple(
-            SharedRecord(key, base64.b64decode(entry)) for key, entry in content["endpoints"]
+            StoreRecord(key, base64.b64decode(entry)) for key, entry in content["endpoints"]
         )
         return cls(record, endpoints, tuple(content["leaving"]), content["era"])
 
@@ -128,8 +128,8 @@
         self._pull_not_before = 0.0
         self._read_not_before = 0.0
         self._timer: Timer | None = None
-        self._configuration: SharedRecord | None = None
-        self._records_by_id: dict[str, SharedRecord] = {}
+        self._configuration: StoreRecord | None = None
+        self._records_by_id: dict[str, StoreRecord] = {}
         self._rejected_value_by_key: dict[str, bytes] = {}
         self._store_available: bool | None = None
         self._encoded_snapshot: bytes | None = None
@@ -308,7 +308,7 @@
         for name in [name for name in self._records_by_id if name not in known]:
             del self._records_by_id[name]
 
-    def _log_rejected_entry(self, record: SharedRecord, error: str) -> None:
+    def _log_rejected_entry(self, record: StoreRecord, error: str) -> None:
         """Log an invalid entry once until it changes, not at each read."""
         if self._rejected_value_by_key.get(record.key) == record.value:
             return
@@ -317,7 +317,7 @@
             del self._rejected_value_by_key[next(iter(self._rejected_value_by_key))]
         log_events.ENTRY_REFUSED.write(_logger, error=error)
 
-    def _apply_configuration(self, record: SharedRecord | None, source: str) -> None:
+    def _apply_configuration(self, record: StoreRecord | None, source: str) -> None:
         if record is None:
             return
         if self._configuration is not None and record.value == self._configuration.value:
--- a/src/brassdrum/gateway/guards/crash_guard.py
+++ b/src/brassdrum/gateway/guards/crash_guard.py
@@ -11,7 +11,7 @@
 
 from brassdrum.errors import BrassdrumError
 from brassdrum.gateway.guards.endings import AffectedRequest
-from brassdrum.gateway.model import ControlStore, EndpointEntry, SharedRecord
+from brassdrum.gateway.model import ControlStore, EndpointEntry, StoreRecord
 from brassdrum.gateway.net.loop import EventLoop
 from brassdrum.gateway.placing.load import LoadTable, endpoint_key
 from brassdrum.outcomes.quarantine import (
@@ -56,13 +56,13 @@
     content: str
     ends: tuple[StoredEnd, ...]
 
-    def encode(self) -> SharedRecord:
+    def encode(self) -> StoreRecord:
         """Return the stored form."""
         ends = [[end.endpoint, round(end.at, 1), int(end.soon)] for end in self.ends]
-        return SharedRecord(self.content, json.dumps({"ends": ends}).encode())
+        return StoreRecord(self.content, json.dumps({"ends": ends}).encode())
 
     @classmethod
-    def decode(cls, record: SharedRecord) -> QuarantineRecord:
+    def decode(cls, record: StoreRecord) -> QuarantineRecord:
         """Decode a stored record, or raise ``ValueError``."""
         try:
             bytes.fromhex(record.key)
@@ -99,7 +99,7 @@
         self._isolated_until_by_endpoint: dict[str, float] = {}
         self._quarantined_contents: set[str] = set()
         self._observed_contents: set[str] = set()
-        self._pending_writes: dict[str, SharedRecord] = {}
+        self._pending_writes: dict[str, StoreRecord] = {}
         # Recently released contents, which may reappear when the store is restored from a backup.
         self._released: dict[str, None] = {}
         self._writing = False
@@ -203,7 +203,7 @@
                 self._enqueue_write(self._build_record(content))
         for content in self._released:
             if content not in self._quarantined_contents:
-                self._enqueue_write(SharedRecord(content, b""))
+                self._enqueue_write(StoreRecord(content, b""))
 
     def _review(self) -> None:
         """Log and store which contents are newly quarantined or released."""
@@ -225,7 +225,7 @@
         self._released[content] = None
         while len(self._released) > _MAX_PENDING_WRITES:
             del self._released[next(iter(self._released))]
-        self._enqueue_write(SharedRecord(content, b""))
+        self._enqueue_write(StoreRecord(content, b""))
 
     def _should_write(self, content: str) -> bool:
         """Return whether this daemon writes the records of a content.
@@ -246,7 +246,7 @@
             seconds_left=round(self.seconds_left(content), 1),
         )
 
-    def _build_record(self, content: str) -> SharedRecord:
+    def _build_record(self, content: str) -> StoreRecord:
         wall = self._loop.clock.now()
         update = self._quarantine.report(content, self._loop.now())
         ends = tuple(
@@ -255,7 +255,7 @@
         )
         return QuarantineRecord(content, ends).encode()
 
-    def _enqueue_write(self, record: SharedRecord) -> None:
+    def _enqueue_write(self, record: StoreRecord) -> None:
         self._pending_writes[record.key] = record
         while len(self._pending_writes) > _MAX_PENDING_WRITES:
             del self._pending_writes[next(iter(self._pending_writes))]
@@ -267,9 +267,9 @@
             return
         record = next(iter(self._pending_writes.values()))
         self._writing = True
-        self._submit(lambda: store.keep_quarantine(record), lambda f: self._write_done(record, f))
+        self._submit(lambda: store.save_quarantine(record), lambda f: self._write_done(record, f))
 
-    def _write_done(self, record: SharedRecord, future: Future) -> None:
+    def _write_done(self, record: StoreRecord, future: Future) -> None:
         self._writing = False
         error = future.exception()
         if error is None:
@@ -288,7 +288,7 @@
         assert self._submit is not None and self._store is not None
         self._submit(self._store.quarantines, self._load_done)
 
-    def _load_done(self, future: Future[list[SharedRecord]]) -> None:
+    def _load_done(self, future: Future[list[StoreRecord]]) -> None:
         error = future.exception()
         if isinstance(error, BrassdrumError):
             log_events.QUARANTINE_NOT_KEPT.write(_logger, content=None, error=error.message)
@@ -308,4 +308,4 @@
                 continue
             self.apply_peer_updates((kept.as_peer_update(wall),))
             if not self._quarantine.is_known(kept.content):
-                self._enqueue_write(SharedRecord(kept.content, b""))
+                self._enqueue_write(StoreRecord(kept.content, b""))
--- a/src/brassdrum/gateway/model.py
+++ b/src/brassdrum/gateway/model.py
@@ -8,6 +8,7 @@
 from typing import Protocol
 
 __all__ = [
+    "AttemptParameters",
     "Bounds",
     "CallerLimits",
     "ControlStore",
@@ -19,7 +20,7 @@
     "FleetConfiguration",
     "GatewaySettings",
     "Headers",
-    "HelperName",
+    "HelperReference",
     "Organisation",
     "Reply",
     "ReplyKind",
@@ -29,8 +30,7 @@
     "RouteKind",
     "RouteTarget",
     "Service",
-    "SharedRecord",
-    "Sending",
+    "StoreRecord",
 ]
 
 
@@ -68,7 +68,7 @@
     max_attempts: int
     anonymous: bool = False
     resumable: bool = False
-    longest_pause: float = 0.0
+    pause_objective: float = 0.0
 
     @property
     def repeatable(self) -> bool:
@@ -86,14 +86,14 @@
     """Hold the declared cost model of a service's engines; times in ms, memory in tokens."""
 
     slots: int
-    memory: int
+    memory_tokens: int
     step_ms: float
-    per_writer_ms: float
-    context_ms_per_1000: float
-    read_per_ms: float
-    pairs_ms_per_million: float
-    chunk: int
-    stride: int
+    per_stream_ms: float
+    context_ms_per_1000_tokens: float
+    prefill_tokens_per_ms: float
+    ms_per_million_token_pairs: float
+    chunk_tokens: int
+    steps_per_pass: int
     hop_ms: float = 0.0
 
 
@@ -179,7 +179,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SharedRecord:
+class StoreRecord:
     """Hold one record of the store as it was read."""
 
     key: str
@@ -210,7 +210,7 @@
     target: bytes
     host: str
     headers: Headers
-    patience: float
+    timeout: float
     key: str | None = None
     prompt_tokens: int = 0
     answer_tokens: int = 0
@@ -227,7 +227,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HelperName:
+class HelperReference:
     """Name an endpoint that reads a part of a prompt, and the memory that it holds for it."""
 
     address: str
@@ -235,11 +235,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sending:
+class AttemptParameters:
     """Hold what one attempt tells its endpoint; ``time_left`` in seconds."""
 
     endpoint: EndpointEntry
-    helpers: tuple[HelperName, ...]
+    helpers: tuple[HelperReference, ...]
     organisation: str | None
     priority: int
     time_left: float
@@ -251,9 +251,9 @@
 
     SUCCESS = auto()
     FAILURE = auto()
-    NOT_RUN = auto()
+    NOT_EXECUTED = auto()
     WRONG_ENDPOINT = auto()
-    FOREIGN = auto()
+    UNVERIFIED = auto()
 
 
 @dataclass(frozen=True, slots=True)
@@ -263,7 +263,7 @@
     kind: ReplyKind
     status: int
     headers: Headers
-    culprit: str | None = None
+    faulty_endpoint: str | None = None
 
 
 class Dialect(Protocol):
@@ -272,7 +272,7 @@
     def read_request(self, head: RequestHead) -> DeclaredRequest:
         """Return what a caller declares, or raise ``InvalidRequestError``."""
 
-    def endpoint_headers(self, request: DeclaredRequest, sending: Sending) -> Headers:
+    def endpoint_headers(self, request: DeclaredRequest, parameters: AttemptParameters) -> Headers:
         """Return the headers that an endpoint receives."""
 
     def read_reply(self, request: DeclaredRequest, status: int, headers: Headers) -> Reply:
@@ -300,10 +300,10 @@
     # Counts how often the store came back from a copy; the newest one that an answer told.
     era: int | None
 
-    def configuration(self) -> SharedRecord | None:
+    def configuration(self) -> StoreRecord | None:
         """Return the newest configuration as it was written, or None before the first."""
 
-    def endpoints(self) -> list[SharedRecord]:
+    def endpoints(self) -> list[StoreRecord]:
         """Return the whole list of endpoints."""
 
     def daemons(self) -> list[DaemonAddress]:
@@ -312,16 +312,16 @@
     def announce(self, name: str, address: DaemonAddress) -> None:
         """Tell other daemons where this one is."""
 
-    def quarantines(self) -> list[SharedRecord]:
+    def quarantines(self) -> list[StoreRecord]:
         """Return the records of quarantined contents that daemons have kept."""
 
-    def keep_quarantine(self, record: SharedRecord) -> None:
+    def save_quarantine(self, record: StoreRecord) -> None:
         """Keep a record of a quarantined content, or drop it where the value is empty."""
 
-    def decode_configuration(self, record: SharedRecord) -> FleetConfiguration:
+    def decode_configuration(self, record: StoreRecord) -> FleetConfiguration:
         """Return a configuration, or raise ``InvalidDocumentError``."""
 
-    def decode_endpoint(self, record: SharedRecord) -> EndpointEntry:
+    def decode_endpoint(self, record: StoreRecord) -> EndpointEntry:
         """Return an entry of the list, or raise ``InvalidDocumentError``."""
 
 
@@ -336,8 +336,8 @@
     retry_window: float = 10.0
     retry_slack: float = 100.0
     endpoint_stall: float = 1.5
-    reservation_longest: float = 20.0
-    reservation_idle: float = 4.0
+    max_reservation: float = 20.0
+    reservation_release: float = 4.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/brassdrum/gateway/placing/packing.py
+++ b/src/brassdrum/gateway/placing/packing.py
@@ -68,7 +68,7 @@
     """
     assert request.max_pause_ms is not None
     streams = sum(_short_prompt_streams(each.load, request.max_pause_ms) for each in candidates)
-    passes = max(1.0, request.answer_tokens / engine.stride)
+    passes = max(1.0, request.answer_tokens / engine.steps_per_pass)
     invisible = (
         streams * request.propagation_ms / (passes * decode_pass_ms(engine, engine.slots, 0))
     )
--- a/src/brassdrum/gateway/placing/placement.py
+++ b/src/brassdrum/gateway/placing/placement.py
@@ -182,7 +182,7 @@
 
 def usable_memory(engine: EngineModel) -> int:
     """Return the tokens that predicted use may fill at one engine."""
-    return int(engine.memory * _USABLE_MEMORY_SHARE)
+    return int(engine.memory_tokens * _USABLE_MEMORY_SHARE)
 
 
 def fits_memory(request: PlacementRequest, candidate: Candidate, engine: EngineModel) -> bool:
--- a/src/brassdrum/gateway/placing/splitting.py
+++ b/src/brassdrum/gateway/placing/splitting.py
@@ -251,7 +251,7 @@
             tie_breaker_by_id[each.entry.id],
         ),
     )
-    fewest = math.ceil(request.total_tokens / (engine.memory * _STORED_MEMORY_SHARE))
+    fewest = math.ceil(request.total_tokens / (engine.memory_tokens * _STORED_MEMORY_SHARE))
     most = min(len(by_load), _MAX_HELPERS + 1)
     # Prefers many small parts; falls back to larger ones if too few engines have memory for them.
     for count in [*range(fewest, most + 1), *range(min(fewest - 1, most), 1, -1)]:
--- a/src/brassdrum/gateway/request/attempt.py
+++ b/src/brassdrum/gateway/request/attempt.py
@@ -8,7 +8,7 @@
     DeclaredRequest,
     Dialect,
     Headers,
-    HelperName,
+    HelperReference,
     Reply,
     Reservation,
     Route,
@@ -211,7 +211,7 @@
             self._owner.attempt_connection_lost(self, how, detail)
 
 
-def helper_name(attempt: Attempt, helper: Helper) -> HelperName:
+def helper_name(attempt: Attempt, helper: Helper) -> HelperReference:
     """Return the helper's address with the identifier of its memory reservation, if it has one."""
     reservation = attempt.reservation_id(helper.entry.name) if helper.stored_tokens else None
-    return HelperName(helper.entry.address, reservation)
+    return HelperReference(helper.entry.address, reservation)
--- a/src/brassdrum/gateway/request/early.py
+++ b/src/brassdrum/gateway/request/early.py
@@ -26,7 +26,7 @@
 def max_hold_seconds(request: DeclaredRequest) -> float:
     """Return the seconds for which a request may wait for the first configuration."""
     share = _HOLD_RATIO if request.resume_after is None else _RESUMED_HOLD_RATIO
-    return share * request.patience
+    return share * request.timeout
 
 
 @dataclass(slots=True)
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -6,13 +6,13 @@
 
 from brassdrum.gateway.guards.endings import LostRequest
 from brassdrum.gateway.model import (
+    AttemptParameters,
     DeclaredRequest,
     Headers,
     Organisation,
     Reply,
     ReplyKind,
     Route,
-    Sending,
 )
 from brassdrum.gateway.net.callers import CallerConnection
 from brassdrum.gateway.net.loop import Timer
@@ -82,7 +82,7 @@
         self._context = context
         self._connection = connection
         self._body = body
-        self._deadline = self.arrived + min(request.patience, route.timeout)
+        self._deadline = self.arrived + min(request.timeout, route.timeout)
         wait_timeout = caller_timeout(route, request)
         self.wait_deadlines = WaitDeadlines(self.arrived, route.objective, wait_timeout)
         self._unsent_attempts = 0
@@ -114,7 +114,7 @@
     def need(self) -> PlacementRequest:
         """Return the requirements that placement has to meet."""
         # A route without a pause limit uses its objective as the limit.
-        pause = self.route.longest_pause or self.route.objective
+        pause = self.route.pause_objective or self.route.objective
         return PlacementRequest(
             self.request.prompt_tokens,
             self.request.answer_tokens,
@@ -145,15 +145,15 @@
         if reply.kind is ReplyKind.SUCCESS or reply.kind is ReplyKind.FAILURE:
             return
         attempt.cancel()
-        if reply.kind is ReplyKind.FOREIGN:
+        if reply.kind is ReplyKind.UNVERIFIED:
             self._handle_lost_attempt(
                 attempt, "the response belongs to another request", certain=False
             )
             return
         failed_endpoint = attempt.endpoint
-        if reply.culprit is not None:
+        if reply.faulty_endpoint is not None:
             failed_endpoint = (
-                self._context.knowledge.find_endpoint(reply.culprit) or failed_endpoint
+                self._context.knowledge.find_endpoint(reply.faulty_endpoint) or failed_endpoint
             )
         if reply.kind is ReplyKind.WRONG_ENDPOINT and failed_endpoint == attempt.endpoint:
             self._context.beliefs.address_reused(attempt.endpoint)
@@ -342,7 +342,7 @@
     def build_request(self, attempt: Attempt, placement: Placement) -> OutgoingRequest:
         """Return the request to send to the chosen endpoint."""
         organisation = None if self.organisation is None else self.organisation.name
-        sending = Sending(
+        sending = AttemptParameters(
             endpoint=placement.entry,
             helpers=tuple(helper_name(attempt, each) for each in placement.helpers),
             organisation=organisation,
@@ -483,7 +483,7 @@
             self._connection.abort()
             return
         if not self._may_have_run:
-            patience_left = self.request.patience - (self._context.loop.now() - self.arrived)
+            patience_left = self.request.timeout - (self._context.loop.now() - self.arrived)
             self._refuse(detail, retry_after_header(retry_after, patience_left))
             return
         status = 504 if self.time_left <= 0 else 502
--- a/src/brassdrum/gateway/request/outcome.py
+++ b/src/brassdrum/gateway/request/outcome.py
@@ -72,8 +72,8 @@
         total_ms = round((now - self.arrived) * 1000)
         longest_pause_ms = round(self.longest_pause * 1000)
         late = (total_ms if first_event_ms is None else first_event_ms) > route.objective * 1000
-        if route.longest_pause:
-            late = late or longest_pause_ms > route.longest_pause * 1000
+        if route.pause_objective:
+            late = late or longest_pause_ms > route.pause_objective * 1000
         return LatencyReport(
             total_ms, first_event_ms, longest_pause_ms, late, self.prediction_ratio
         )
--- a/src/brassdrum/gateway/request/patience.py
+++ b/src/brassdrum/gateway/request/patience.py
@@ -31,13 +31,13 @@
     return max(
         _MIN_STALL_TIMEOUT_SECONDS,
         _STALL_OBJECTIVES * route.objective,
-        _STALL_PAUSES * route.longest_pause,
+        _STALL_PAUSES * route.pause_objective,
     )
 
 
 def caller_timeout(route: Route, request: DeclaredRequest) -> float:
     """Return the seconds after which a caller abandons a request without a first event."""
-    allowed = min(request.patience, route.timeout)
+    allowed = min(request.timeout, route.timeout)
     return min(allowed, caller_stall_timeout(route)) if route.streams else allowed
 
 
--- a/src/brassdrum/gateway/request/silence.py
+++ b/src/brassdrum/gateway/request/silence.py
@@ -47,5 +47,5 @@
     if route.kind is RouteKind.IDEMPOTENT:
         return route.objective
     if predicted_ms is None:
-        return route.longest_pause * _PAUSE_FACTOR + _PAUSE_SLACK_SECONDS
+        return route.pause_objective * _PAUSE_FACTOR + _PAUSE_SLACK_SECONDS
     return route.objective + _FIRST_EVENT_SLACK_SECONDS + _FIRST_EVENT_FACTOR * predicted_ms / 1000
--- a/src/brassdrum/platform/dialect.py
+++ b/src/brassdrum/platform/dialect.py
@@ -6,13 +6,13 @@
 
 from brassdrum.errors import InvalidRequestError
 from brassdrum.gateway.model import (
+    AttemptParameters,
     DeclaredRequest,
     Headers,
-    HelperName,
+    HelperReference,
     Reply,
     ReplyKind,
     RequestHead,
-    Sending,
 )
 
 __all__ = ["PlatformDialect"]
@@ -75,26 +75,26 @@
             target=head.target,
             host=value_by_name.get(b"host", b"").decode("latin-1").split(":")[0],
             headers=_end_to_end(head.headers, _SET_HERE),
-            patience=_NO_LIMIT_SECONDS if patience is None else _number(patience) / 1000,
+            timeout=_NO_LIMIT_SECONDS if patience is None else _number(patience) / 1000,
             key=None if key is None else key.decode("latin-1"),
             prompt_tokens=prompt,
             answer_tokens=answer,
             resume_after=None if resume is None else _number(resume),
         )
 
-    def endpoint_headers(self, request: DeclaredRequest, sending: Sending) -> Headers:
+    def endpoint_headers(self, request: DeclaredRequest, parameters: AttemptParameters) -> Headers:
         """Return the headers that an endpoint receives."""
         headers = list(request.headers)
-        headers.append((b"X-Deadline-Remaining", b"%d" % max(1, int(sending.time_left * 1000))))
-        headers.append((b"X-Expect-Replica", sending.endpoint.name.encode("latin-1")))
-        if sending.organisation is not None:
-            headers.append((b"X-Tenant", sending.organisation.encode("latin-1")))
-        priority = min(_LOWEST_PRIORITY, max(0, sending.priority))
+        headers.append((b"X-Deadline-Remaining", b"%d" % max(1, int(parameters.time_left * 1000))))
+        headers.append((b"X-Expect-Replica", parameters.endpoint.name.encode("latin-1")))
+        if parameters.organisation is not None:
+            headers.append((b"X-Tenant", parameters.organisation.encode("latin-1")))
+        priority = min(_LOWEST_PRIORITY, max(0, parameters.priority))
         headers.append((b"X-Request-Priority", b"%d" % priority))
-        if sending.resume_after is not None:
-            headers.append((b"Last-Event-Id", b"%d" % sending.resume_after))
-        if sending.helpers:
-            names = [_helper(each) for each in sending.helpers]
+        if parameters.resume_after is not None:
+            headers.append((b"Last-Event-Id", b"%d" % parameters.resume_after))
+        if parameters.helpers:
+            names = [_helper(each) for each in parameters.helpers]
             headers.append((b"X-Helpers", ",".join(names).encode("latin-1")))
         return headers
 
@@ -124,18 +124,18 @@
     ) -> ReplyKind:
         echoed = value_by_name.get(_REQUEST_ID)
         if echoed is not None and echoed != request.id.encode("latin-1"):
-            return ReplyKind.FOREIGN
+            return ReplyKind.UNVERIFIED
         if status == 421:
             return ReplyKind.WRONG_ENDPOINT
         if _NOT_RUN in value_by_name:
-            return ReplyKind.NOT_RUN
+            return ReplyKind.NOT_EXECUTED
         if not 200 <= status < 300:
             return ReplyKind.FAILURE
         # A success without the signature is no answer of an endpoint.
-        return ReplyKind.SUCCESS if _SEAL in value_by_name else ReplyKind.FOREIGN
+        return ReplyKind.SUCCESS if _SEAL in value_by_name else ReplyKind.UNVERIFIED
 
 
-def _helper(helper: HelperName) -> str:
+def _helper(helper: HelperReference) -> str:
     return helper.address if helper.ticket is None else f"{helper.address}/{helper.ticket}"
 
 
--- a/src/brassdrum/platform/documents.py
+++ b/src/brassdrum/platform/documents.py
@@ -68,7 +68,7 @@
             max_attempts=max(1, self.max_attempts),
             anonymous=self.anonymous,
             resumable=self.resumable,
-            longest_pause=self.gap_aim_ms / 1000,
+            pause_objective=self.gap_aim_ms / 1000,
         )
 
 
@@ -90,14 +90,14 @@
     def decode(self) -> EngineModel:
         return EngineModel(
             slots=self.slots,
-            memory=self.kv_tokens,
+            memory_tokens=self.kv_tokens,
             step_ms=self.step_ms,
-            per_writer_ms=self.per_seq_ms,
-            context_ms_per_1000=self.context_per_k,
-            read_per_ms=self.read_per_s / 1000,
-            pairs_ms_per_million=self.pairs_per_m,
-            chunk=self.chunk,
-            stride=self.stride,
+            per_stream_ms=self.per_seq_ms,
+            context_ms_per_1000_tokens=self.context_per_k,
+            prefill_tokens_per_ms=self.read_per_s / 1000,
+            ms_per_million_token_pairs=self.pairs_per_m,
+            chunk_tokens=self.chunk,
+            steps_per_pass=self.stride,
             hop_ms=self.hop_ms,
         )
 
--- a/src/brassdrum/platform/store.py
+++ b/src/brassdrum/platform/store.py
@@ -9,7 +9,7 @@
 from urllib.parse import quote
 
 from brassdrum.errors import PlatformUnavailableError
-from brassdrum.gateway.model import DaemonAddress, EndpointEntry, FleetConfiguration, SharedRecord
+from brassdrum.gateway.model import DaemonAddress, EndpointEntry, FleetConfiguration, StoreRecord
 from brassdrum.http_pool import ConnectFailedError, ExchangeFailedError, HttpPool
 from brassdrum.platform.documents import decode_configuration, decode_endpoint
 
@@ -38,14 +38,14 @@
         self.calls = 0
         self.era: int | None = None
 
-    def configuration(self) -> SharedRecord | None:
+    def configuration(self) -> StoreRecord | None:
         """Return the newest configuration as it was written, or None before the first."""
         for record in self._newest(_CONFIGURATION_TOPIC):
             if record.key == _CONFIGURATION_KEY:
                 return record
         return None
 
-    def endpoints(self) -> list[SharedRecord]:
+    def endpoints(self) -> list[StoreRecord]:
         """Return the whole list of endpoints."""
         return self._newest(_ENDPOINT_TOPIC)
 
@@ -56,32 +56,32 @@
 
     def announce(self, name: str, address: DaemonAddress) -> None:
         """Tell other daemons where this one is."""
-        self._append(_DAEMON_TOPIC, SharedRecord(name, address.encode()))
+        self._append(_DAEMON_TOPIC, StoreRecord(name, address.encode()))
 
-    def quarantines(self) -> list[SharedRecord]:
+    def quarantines(self) -> list[StoreRecord]:
         """Return the records of quarantined contents that daemons have kept."""
         return self._newest(_QUARANTINE_TOPIC)
 
-    def keep_quarantine(self, record: SharedRecord) -> None:
+    def save_quarantine(self, record: StoreRecord) -> None:
         """Keep a record of a quarantined content, or drop it where the value is empty."""
         self._append(_QUARANTINE_TOPIC, record)
 
-    def decode_configuration(self, record: SharedRecord) -> FleetConfiguration:
+    def decode_configuration(self, record: StoreRecord) -> FleetConfiguration:
         """Return a configuration, or raise ``InvalidDocumentError``."""
         return decode_configuration(record.value)
 
-    def decode_endpoint(self, record: SharedRecord) -> EndpointEntry:
+    def decode_endpoint(self, record: StoreRecord) -> EndpointEntry:
         """Return an entry of the list, or raise ``InvalidDocumentError``."""
         return decode_endpoint(record.key, record.value)
 
-    def _append(self, topic: str, record: SharedRecord) -> None:
+    def _append(self, topic: str, record: StoreRecord) -> None:
         key = record.key.encode()
         content = bytes([len(key)]) + key + record.value
         framed = len(content).to_bytes(4, "big") + content
         self._call("POST", f"/log-append?topic={topic}&part=0", framed)
 
-    def _newest(self, topic: str) -> list[SharedRecord]:
-        records: list[SharedRecord] = []
+    def _newest(self, topic: str) -> list[StoreRecord]:
+        records: list[StoreRecord] = []
         after = ""
         while True:
             page = self._page(topic, after)
@@ -126,10 +126,10 @@
                 self.era = era
 
 
-def _record(item: dict) -> SharedRecord | None:
+def _record(item: dict) -> StoreRecord | None:
     """Return one record of a page, or None where it cannot be read; the others hold."""
     try:
-        return SharedRecord(item["key"], base64.b64decode(item["value"], validate=True))
+        return StoreRecord(item["key"], base64.b64decode(item["value"], validate=True))
     except (KeyError, TypeError, ValueError) as error:
         _logger.warning(
             "record not readable", extra={"record": str(item)[:80], "error": str(error)}
@@ -137,7 +137,7 @@
         return None
 
 
-def _address(record: SharedRecord) -> DaemonAddress | None:
+def _address(record: StoreRecord) -> DaemonAddress | None:
     """Return where a daemon is, or None where the record cannot be read; the others hold."""
     try:
         return DaemonAddress.decode(record.value)
