--- a/src/brassdrum/gateway/model.py
+++ b/src/brassdrum/gateway/model.py
@@ -1,4 +1,4 @@
-"""Typed values of the gateway: configuration, endpoints, requests and replies."""
+"""Data types and interfaces of the gateway."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class RouteKind(Enum):
-    """Say what may be repeated on a route."""
+    """How requests of a route may be retried, and whether responses are event streams."""
 
     IDEMPOTENT = auto()
     NON_IDEMPOTENT = auto()
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTarget:
-    """Name a service and its share of a route's requests."""
+    """A service with its weight among the targets of a route."""
 
     service: str
     weight: float
@@ -55,7 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Hold how the requests of one host and path prefix are handled; times in seconds."""
+    """How requests for one host and path prefix are handled.
+
+    Times are in seconds. ``objective`` and ``pause_objective`` are targets, not limits; the latter
+    applies between the events of a stream, and 0 means that there is none.
+    """
 
     name: str
     host: str
@@ -72,18 +76,22 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether a request may run more than once."""
+        """Return whether a request may be executed more than once."""
         return self.kind is RouteKind.IDEMPOTENT or self.resumable
 
     @property
     def streams(self) -> bool:
-        """Return whether answers are event streams."""
+        """Return whether responses are event streams."""
         return self.kind is RouteKind.STREAM
 
 
 @dataclass(frozen=True, slots=True)
 class EngineModel:
-    """Hold the declared cost model of a service's engines; times in ms, memory in tokens."""
+    """The declared cost model of a service's engines.
+
+    An engine works in passes of ``steps_per_pass`` decode steps, each with up to ``chunk_tokens``
+    of prefill.
+    """
 
     slots: int
     memory_tokens: int
@@ -99,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """Hold one service; ``engine`` is None for plain services."""
+    """A service; ``engine`` is None if its endpoints are not inference engines."""
 
     name: str
     max_connections: int
@@ -108,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Organisation:
-    """Hold one organisation; ``priority`` None leaves the route's in force."""
+    """An organisation; ``priority`` overrides that of the route unless it is None."""
 
     name: str
     keys: frozenset[str]
@@ -117,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bound what a caller may send (bytes) and how long it may take or stay idle (seconds)."""
+    """Limits on the size of requests, the time to receive headers, and idle connections."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 << 20
@@ -127,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfiguration:
-    """Hold one accepted configuration; versions only grow."""
+    """A valid configuration; the version in force never decreases."""
 
     version: int
     routes: tuple[Route, ...]
@@ -138,11 +146,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """Hold what an endpoint says of itself in the platform's list.
+    """An endpoint's own entry in the platform's list of endpoints.
 
-    An endpoint may start again under its ``name``; ``born`` is the Unix millisecond of its start,
-    None where endpoints do not tell it. ``id`` names one incarnation: all that is kept by it
-    (suspicion, load, memory, words of peers) starts from nothing with the next one.
+    ``born`` is the start time in Unix milliseconds, or None if the endpoint does not report it.
+    ``id`` identifies one incarnation, so that no state of an endpoint outlives its restart under
+    the same ``name``.
     """
 
     name: str
@@ -161,26 +169,26 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonAddress:
-    """Say where a daemon is and how much it can carry, in tenths of a core."""
+    """The address of a daemon; ``capacity`` is in tenths of a core."""
 
     host: str
     zone: str
     capacity: int = 0
 
     def encode(self) -> bytes:
-        """Return the form that lies in the store."""
+        """Return the value that is written to the store."""
         return f"{self.host} {self.capacity} {self.zone}".encode()
 
     @classmethod
     def decode(cls, data: bytes) -> DaemonAddress:
-        """Return an address, or raise ``ValueError``."""
+        """Decode a value from the store, or raise ``ValueError``."""
         host, capacity, zone = data.decode().split(" ", 2)
         return cls(host, zone, int(capacity))
 
 
 @dataclass(frozen=True, slots=True)
 class StoreRecord:
-    """Hold one record of the store as it was read."""
+    """A record of the store, not decoded."""
 
     key: str
     value: bytes
@@ -188,7 +196,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """Hold the start of a caller's request as it was received."""
+    """The request line and headers of a caller's request, unchanged."""
 
     method: bytes
     target: bytes
@@ -196,14 +204,18 @@
 
     @property
     def size(self) -> int:
-        """Return the bytes of the request line and the headers, without separators."""
+        """Return the size of the request line and headers in bytes, without separators."""
         named = sum(len(name) + len(value) for name, value in self.headers)
         return len(self.method) + len(self.target) + named
 
 
 @dataclass(frozen=True, slots=True)
 class DeclaredRequest:
-    """Hold what a caller declares of its request; ``patience`` in seconds, lengths in tokens."""
+    """A caller's request, decoded from its headers.
+
+    ``timeout`` is the time in seconds that the caller waits. ``answer_tokens`` is the maximum
+    length of the response.
+    """
 
     id: str
     method: bytes
@@ -219,7 +231,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Name memory that an endpoint holds for one request."""
+    """Memory that an endpoint reserves for one request."""
 
     address: str
     ticket: str
@@ -228,7 +240,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HelperReference:
-    """Name an endpoint that reads a part of a prompt, and the memory that it holds for it."""
+    """An endpoint that prefills part of a prompt; ``ticket`` identifies its reserved memory."""
 
     address: str
     ticket: str | None
@@ -236,7 +248,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptParameters:
-    """Hold what one attempt tells its endpoint; ``time_left`` in seconds."""
+    """Values that are sent to the endpoint of one attempt; ``time_left`` is in seconds."""
 
     endpoint: EndpointEntry
     helpers: tuple[HelperReference, ...]
@@ -247,7 +259,10 @@
 
 
 class ReplyKind(Enum):
-    """Say what a reply proves about the request."""
+    """What a reply indicates about the execution of the request.
+
+    ``UNVERIFIED`` replies do not come from an endpoint, or belong to another request.
+    """
 
     SUCCESS = auto()
     FAILURE = auto()
@@ -258,7 +273,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Hold the start of an endpoint's answer; ``culprit`` is the endpoint that it blames."""
+    """The status and headers of a response.
+
+    ``faulty_endpoint`` is the endpoint that the reply reports as the cause of a failure.
+    """
 
     kind: ReplyKind
     status: int
@@ -267,67 +285,71 @@
 
 
 class Dialect(Protocol):
-    """Translate between the headers on the wire and the product's own values."""
+    """Convert between the wire format of headers and the types of this module."""
 
     def read_request(self, head: RequestHead) -> DeclaredRequest:
-        """Return what a caller declares, or raise ``InvalidRequestError``."""
+        """Decode a caller's request, or raise ``InvalidRequestError``."""
 
     def endpoint_headers(self, request: DeclaredRequest, parameters: AttemptParameters) -> Headers:
-        """Return the headers that an endpoint receives."""
+        """Return the headers to send to an endpoint."""
 
     def read_reply(self, request: DeclaredRequest, status: int, headers: Headers) -> Reply:
-        """Return what an endpoint's answer proves."""
+        """Classify the response of an endpoint."""
 
     def reserve(self, ticket: str, tokens: int, seconds: float, *, wait: bool) -> bytes:
-        """Return the order that holds memory at an endpoint."""
+        """Return the body of a request that reserves memory at an endpoint."""
 
     def release(self, ticket: str) -> bytes:
-        """Return the order that gives held memory back."""
+        """Return the body of a request that releases reserved memory."""
 
     @property
     def order_path(self) -> str:
-        """Return the path that takes orders."""
+        """Return the path for reservation requests."""
 
     @property
     def report_path(self) -> str:
-        """Return the path of a page that an endpoint serves whatever its load."""
+        """Return the path for liveness checks; endpoints serve it regardless of their load."""
 
 
 class ControlStore(Protocol):
-    """Read and write the platform's store; calls block and raise ``PlatformUnavailableError``."""
+    """The platform's store; methods block, and raise ``PlatformUnavailableError``."""
 
     calls: int
-    # Counts how often the store came back from a copy; the newest one that an answer told.
+    # Latest known number of times that the store was restored from a backup.
     era: int | None
 
     def configuration(self) -> StoreRecord | None:
-        """Return the newest configuration as it was written, or None before the first."""
+        """Return the latest configuration, or None if there is none yet."""
 
     def endpoints(self) -> list[StoreRecord]:
-        """Return the whole list of endpoints."""
+        """Return the records of all endpoints."""
 
     def daemons(self) -> list[DaemonAddress]:
-        """Return the addresses of daemons that announced themselves."""
+        """Return the addresses of all registered daemons."""
 
     def announce(self, name: str, address: DaemonAddress) -> None:
-        """Tell other daemons where this one is."""
+        """Register the address of this daemon."""
 
     def quarantines(self) -> list[StoreRecord]:
-        """Return the records of quarantined contents that daemons have kept."""
+        """Return the records of quarantined contents."""
 
     def save_quarantine(self, record: StoreRecord) -> None:
-        """Keep a record of a quarantined content, or drop it where the value is empty."""
+        """Write the record of a quarantined content; an empty value deletes it."""
 
     def decode_configuration(self, record: StoreRecord) -> FleetConfiguration:
-        """Return a configuration, or raise ``InvalidDocumentError``."""
+        """Decode a configuration, or raise ``InvalidDocumentError``."""
 
     def decode_endpoint(self, record: StoreRecord) -> EndpointEntry:
-        """Return an entry of the list, or raise ``InvalidDocumentError``."""
+        """Decode an endpoint entry, or raise ``InvalidDocumentError``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Hold the times that the operator's contract sets, in seconds."""
+    """Operational limits; times are in seconds.
+
+    Retries within ``retry_window`` are limited to ``retry_slack`` plus ``retry_ratio`` per request.
+    Unused reservations must be released within ``reservation_release``.
+    """
 
     drain: float = 2.0
     configuration: float = 2.0
@@ -342,7 +364,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """Hold what one daemon is told at its start; ``capacity`` in tenths of a core."""
+    """Settings of a daemon; ``capacity`` is in tenths of a core."""
 
     name: str
     host: str
