--- a/features/gateway_world.py
+++ b/features/gateway_world.py
@@ -481,7 +481,7 @@
 
     def leave(self):
         """Begin the planned stop."""
-        self.daemon.loop.post(self.daemon.leave)
+        self.daemon.loop.post(self.daemon.begin_stop)
 
     def close(self):
         """Stop at once."""
--- a/features/steps/starting_steps.py
+++ b/features/steps/starting_steps.py
@@ -147,7 +147,7 @@
 @when('a caller sends a "{kind}" and the gateway receives the stop signal {seconds:g} s later')
 def step_delayed_stop(context, kind, seconds):
     daemon = context.gateways[0].daemon
-    send_and_act_later(context, kind, seconds, lambda: daemon.loop.post(daemon.leave))
+    send_and_act_later(context, kind, seconds, lambda: daemon.loop.post(daemon.begin_stop))
 
 
 def send_and_act_later(context, kind, seconds, action):
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -62,16 +62,16 @@
 _CHART = load_chart("daemon")
 METRICS_PATH = "/metrics"
 # Idle connections are closed from here on, so that callers move to other daemons in time.
-_IDLE_CLOSE_SECONDS = 1.5
-_STOP_CHECK_SECONDS = 0.1
+_IDLE_CLOSE_DELAY_SECONDS = 1.5
+_STOP_CHECK_INTERVAL_SECONDS = 0.1
 # Part of the time in which unused memory must be free again for which it is held at once.
-_HOLD_SHARE = 0.8
+_RELEASE_TIME_RATIO = 0.8
 # A changed settings file is noticed within this time; one look at the file costs microseconds.
-_SETTINGS_CHECK_SECONDS = 2.0
+_SETTINGS_CHECK_INTERVAL_SECONDS = 2.0
 # A daemon whose record the store may have lost writes it again after about this.
-_WRITE_AGAIN_SECONDS = 0.5
+_REWRITE_DELAY_SECONDS = 0.5
 # A request that comes when the planned stop is near is sent to another daemon at once.
-_LEAVING_RETRY_SECONDS = 0.01
+_STOP_RETRY_AFTER_SECONDS = 0.01
 
 
 class GatewayDaemon:
@@ -98,25 +98,25 @@
             self.pool,
             dialect,
             # A daemon that died renews nothing: its holds end before the platform calls them lost.
-            min(bounds.max_reservation, bounds.reservation_release * _HOLD_SHARE),
+            min(bounds.max_reservation, bounds.reservation_release * _RELEASE_TIME_RATIO),
         )
-        self._numbers = itertools.count(1)
+        self._attempt_numbers = itertools.count(1)
         self._random = rng or random.Random()
         self.wait_queue = WaitQueue(self.loop, self._jitter)
         self._store = store
         self._policy = policies.get(settings.policy)
-        self._chooser = EndpointSelector(
+        self._endpoint_selector = EndpointSelector(
             settings.name, self.table, self._random, self._flush_seconds
         )
         self._budget_by_service: dict[str, SharedRetryBudget] = {}
         self._connections: set[CallerConnection] = set()
         self._exchanges: set[Exchange] = set()
-        self._early = HeldRequestQueue(self.loop, self._refuse_early)
+        self._held_requests = HeldRequestQueue(self.loop, self._refuse_held)
         self._state = _CHART.initial
-        self._stop: PlannedStop | None = None
+        self._planned_stop: PlannedStop | None = None
         self.guard = CrashGuard(self.loop, self.table)
         self.beliefs = EndpointMonitor(
-            self.loop, self.knowledge, self.pool, self._become_ready, self.guard
+            self.loop, self.knowledge, self.pool, self._update_readiness, self.guard
         )
         self._follower = Follower(
             self.loop,
@@ -126,10 +126,10 @@
             settings.peer_port,
             self.beliefs.on_endpoints_changed,
             self.beliefs.on_configuration_changed,
-            self._write_again,
+            self._rewrite_records,
         )
         self.beliefs.set_follower(self._follower)
-        self._endings = ExitDetector(self.loop, self._endpoint_ended)
+        self._exit_detector = ExitDetector(self.loop, self._endpoint_exited)
         self._peers: Peers | None = None
         self._listeners: list[Listener] = []
 
@@ -140,7 +140,7 @@
         self._listen(settings.ready_port, self._accept_probe)
         self._listen(settings.peer_port, self._accept_peer)
         if settings.metrics_port is not None:
-            self._listen_for_collectors(settings.metrics_port)
+            self._listen_for_scrapers(settings.metrics_port)
         self._peers = Peers(
             self.loop,
             DatagramSocket(self.loop, settings.host, settings.peer_port),
@@ -170,38 +170,42 @@
         self._follower.close()
         log_events.STOPPED.write(_logger, left=len(self._exchanges))
 
-    def stop_on(self, *signals: signal.Signals) -> None:
+    def stop_on_signals(self, *signals: signal.Signals) -> None:
         """Begin the planned stop when the process gets one of the signals."""
         for number in signals:
-            signal.signal(number, lambda *_: self.loop.post(self.leave))
+            signal.signal(number, lambda *_: self.loop.post(self.begin_stop))
 
-    def reload_on(self, number: signal.Signals, reload: Callable[[], GatewaySettings]) -> None:
+    def reload_on_signal(
+        self, number: signal.Signals, reload: Callable[[], GatewaySettings]
+    ) -> None:
         """Read the settings again when the process gets the signal."""
         signal.signal(number, lambda *_: self.loop.post(lambda: self._reload(reload)))
 
-    def reload_when(
+    def reload_on_change(
         self, changed: Callable[[], bool], reload: Callable[[], GatewaySettings]
     ) -> None:
         """Read the settings again also when their file changes without a signal."""
         if changed():
             self._reload(reload)
-        self.loop.call_later(_SETTINGS_CHECK_SECONDS, lambda: self.reload_when(changed, reload))
+        self.loop.call_later(
+            _SETTINGS_CHECK_INTERVAL_SECONDS, lambda: self.reload_on_change(changed, reload)
+        )
 
-    def leave(self) -> None:
+    def begin_stop(self) -> None:
         """Stop gracefully: not ready at once, then finish what callers still send."""
         if self._state in ("leaving", "draining", "stopped"):
             return
         self._state = _CHART.next(self._state, "leave")
-        self._stop = PlannedStop(self.loop.now(), self.settings.bounds.grace)
-        self._early.refuse_all("about to stop")
+        self._planned_stop = PlannedStop(self.loop.now(), self.settings.bounds.grace)
+        self._held_requests.refuse_all("about to stop")
         log_events.LEAVING.write(
             _logger, active=len(self._exchanges), grace=self.settings.bounds.grace
         )
         assert self._peers is not None
         self._peers.leaving = True
         self._peers.announce()
-        self.loop.call_later(_IDLE_CLOSE_SECONDS, self._close_idle)
-        self.loop.call_later(_STOP_CHECK_SECONDS, self._check_stop)
+        self.loop.call_later(_IDLE_CLOSE_DELAY_SECONDS, self._close_idle)
+        self.loop.call_later(_STOP_CHECK_INTERVAL_SECONDS, self._check_stop)
 
     # What callers' connections ask.
 
@@ -219,7 +223,7 @@
     ) -> CallerHandler | None:
         """Begin to answer a caller's request."""
         if self.knowledge.configuration is None and not self.closing():
-            early = self._hold_early(connection, head, body)
+            early = self._hold_request(connection, head, body)
             if early is not None:
                 return early
         return self._handle(connection, head, body, self.loop.now())
@@ -233,18 +237,18 @@
             return None
         request, route = verdict.request, verdict.route
         service = self.knowledge.choose_service(route, self._random)
-        if self._would_cut(request, route, service):
-            refusal = Refusal(503, "about to stop", _LEAVING_RETRY_SECONDS, request.id)
+        if self._would_be_aborted(request, route, service):
+            refusal = Refusal(503, "about to stop", _STOP_RETRY_AFTER_SECONDS, request.id)
             self._refuse(connection, refusal)
             return None
         exchange = Exchange(self, connection, request, body, route, verdict.organisation, arrived)
         exchange.service = service
         self._exchanges.add(exchange)
-        self._budget(exchange.service).record_request(self.loop.now())
+        self._retry_budget(exchange.service).record_request(self.loop.now())
         exchange.start()
         return exchange
 
-    def _hold_early(
+    def _hold_request(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> HeldRequest | None:
         """Let a request wait for the first configuration; return None where it may not."""
@@ -253,20 +257,20 @@
         except InvalidRequestError:
             # It is refused for that as soon as it is admitted.
             return None
-        early = self._early.hold(connection, head, body, request)
+        early = self._held_requests.hold(connection, head, body, request)
         if early is not None:
             log_events.HELD.write(
                 _logger, request=request.id, seconds=round(max_hold_seconds(request), 2)
             )
         return early
 
-    def _handle_early(self, early: HeldRequest) -> Exchange | None:
+    def _handle_held(self, early: HeldRequest) -> Exchange | None:
         return self._handle(early.connection, early.head, early.body, early.arrived)
 
-    def _refuse_early(self, early: HeldRequest, detail: str) -> None:
+    def _refuse_held(self, early: HeldRequest, detail: str) -> None:
         """Ask a caller to come back as late as it does: nobody knows when the store is back."""
         left = early.request.timeout - (self.loop.now() - early.arrived)
-        seconds = _LEAVING_RETRY_SECONDS if self.closing() else max_retry_after(left)
+        seconds = _STOP_RETRY_AFTER_SECONDS if self.closing() else max_retry_after(left)
         self._refuse(early.connection, Refusal(503, detail, seconds, early.request.id))
 
     def _flush_seconds(self) -> float:
@@ -277,14 +281,14 @@
         """Return a time near to one, so that daemons do not act in step."""
         return seconds * self._random.uniform(0.6, 1.4)
 
-    def _would_cut(self, request: DeclaredRequest, route: Route, service: str) -> bool:
+    def _would_be_aborted(self, request: DeclaredRequest, route: Route, service: str) -> bool:
         """Return whether a planned stop would cut a request that is taken now."""
-        if self._stop is None:
+        if self._planned_stop is None:
             return False
-        duration = declared_duration(route, request, self._engine(service))
-        return not self._stop.takes(self.loop.now(), duration)
+        duration = declared_duration(route, request, self._engine_model(service))
+        return not self._planned_stop.takes(self.loop.now(), duration)
 
-    def _engine(self, service: str) -> EngineModel | None:
+    def _engine_model(self, service: str) -> EngineModel | None:
         configuration = self.knowledge.configuration
         assert configuration is not None
         found = configuration.services_by_name.get(service)
@@ -300,43 +304,43 @@
             self.knowledge.usable(exchange.service),
             self.beliefs.is_suspect,
         )
-        return self._chooser.select(
+        return self._endpoint_selector.select(
             self._policy,
             need,
             [entry for entry in usable if entry.id not in exchange.tried_endpoints],
             self.beliefs.is_suspect,
-            self._engine(exchange.service),
+            self._engine_model(exchange.service),
             now,
             late=now > exchange.wait_deadlines.timely_until,
         )
 
     def may_wait(self, exchange: Exchange) -> bool:
         """Return whether a request may wait for calmer engines; near its end a stop allows none."""
-        if self._stop is None:
+        if self._planned_stop is None:
             return True
-        engine = self._engine(exchange.service)
+        engine = self._engine_model(exchange.service)
         duration = declared_duration(exchange.route, exchange.request, engine)
-        return self._stop.may_wait(self.loop.now(), duration)
+        return self._planned_stop.may_wait(self.loop.now(), duration)
 
     def next_attempt_number(self) -> int:
         """Return a number that no other attempt of this daemon has."""
-        return next(self._numbers)
+        return next(self._attempt_numbers)
 
     def consume_retry(self, service: str) -> bool:
         """Take one repeated send from the shared budget, or return False."""
         assert self._peers is not None
-        return self._budget(service).try_consume(self.loop.now(), self._peers.live)
+        return self._retry_budget(service).try_consume(self.loop.now(), self._peers.live)
 
     def retries_left(self, service: str) -> float:
         """Return how many repeats this daemon may still send."""
         assert self._peers is not None
-        return self._budget(service).remaining(self.loop.now(), self._peers.live)
+        return self._retry_budget(service).remaining(self.loop.now(), self._peers.live)
 
     def response_interrupted(self, attempt: Attempt, lost: LostRequest) -> None:
         """Find out whether the endpoint has ended, unless it was about to leave."""
         entry = self.knowledge.endpoints_by_id.get(attempt.endpoint)
         if entry is not None and not entry.draining:
-            self._endings.response_interrupted(entry, lost)
+            self._exit_detector.response_interrupted(entry, lost)
 
     def load_changed(self) -> None:
         """Look at the waiting requests, and tell peers soon."""
@@ -383,7 +387,7 @@
 
     # Inner wiring.
 
-    def _endpoint_ended(self, entry: EndpointEntry, witnesses: list[AffectedRequest]) -> None:
+    def _endpoint_exited(self, entry: EndpointEntry, witnesses: list[AffectedRequest]) -> None:
         self.beliefs.endpoint_failed(entry.id, certain=True, detail="its process has ended")
         self.guard.endpoint_ended(entry, witnesses)
         assert self._peers is not None
@@ -401,10 +405,10 @@
     def _listen(self, port: int, accept: Callable[[socket.socket], None]) -> None:
         self._listeners.append(Listener(self.loop, self.settings.host, port, accept))
 
-    def _listen_for_collectors(self, port: int) -> None:
+    def _listen_for_scrapers(self, port: int) -> None:
         """Serve metrics where the port is free; callers are served in any case."""
         try:
-            self._listen(port, self._accept_collector)
+            self._listen(port, self._accept_scraper)
         except OSError as error:
             log_events.METRICS_UNAVAILABLE.write(_logger, port=port, error=str(error))
 
@@ -418,7 +422,7 @@
         pages = {KNOWLEDGE_PATH: Page(b"application/octet-stream", self._follower.snapshot)}
         CallerConnection(self.loop, sock, PageResponder(pages), _ignore)
 
-    def _accept_collector(self, sock: socket.socket) -> None:
+    def _accept_scraper(self, sock: socket.socket) -> None:
         pages = {METRICS_PATH: Page(b"text/plain; version=0.0.4", self.metrics.page)}
         CallerConnection(self.loop, sock, PageResponder(pages), _ignore)
 
@@ -434,29 +438,29 @@
         self._store.announce(self.settings.name, self._address())
         return self._store.daemons()
 
-    def _write_again(self) -> None:
+    def _rewrite_records(self) -> None:
         """Write to the store what it may have lost; not all daemons in the same moment."""
-        self.loop.call_later(self._jitter(_WRITE_AGAIN_SECONDS), self._announce_again)
+        self.loop.call_later(self._jitter(_REWRITE_DELAY_SECONDS), self._reannounce)
         self.guard.rewrite_records()
 
-    def _announce_again(self) -> None:
+    def _reannounce(self) -> None:
         self._follower.submit(
             lambda: self._store.announce(self.settings.name, self._address()),
-            self._announced_again,
+            self._reannounce_done,
         )
 
-    def _announced_again(self, future: Future[None]) -> None:
+    def _reannounce_done(self, future: Future[None]) -> None:
         error = future.exception()
         if error is None:
             return
         if not isinstance(error, BrassdrumError):
             raise error
         _logger.warning("daemon not announced", extra={"error": error.message})
-        self.loop.call_later(self._jitter(_WRITE_AGAIN_SECONDS), self._announce_again)
+        self.loop.call_later(self._jitter(_REWRITE_DELAY_SECONDS), self._reannounce)
 
-    def _become_ready(self) -> None:
+    def _update_readiness(self) -> None:
         if self.ready() and self.knowledge.configuration is not None:
-            self._early.release(self._handle_early)
+            self._held_requests.release(self._handle_held)
         if self._state == _CHART.initial and self.ready():
             self._state = _CHART.next(self._state, "become_ready")
             log_events.READY.write(
@@ -465,7 +469,7 @@
                 endpoints=len(self.knowledge.endpoints_by_id),
             )
 
-    def _budget(self, service: str) -> SharedRetryBudget:
+    def _retry_budget(self, service: str) -> SharedRetryBudget:
         if service not in self._budget_by_service:
             bounds = self.settings.bounds
             self._budget_by_service[service] = SharedRetryBudget(
@@ -506,19 +510,19 @@
 
     def _check_stop(self) -> None:
         now = self.loop.now()
-        assert self._stop is not None
-        noticed = self._stop.noticed(now)
+        assert self._planned_stop is not None
+        noticed = self._planned_stop.noticed(now)
         if noticed:
             self._close_idle()
         if noticed and not self._exchanges and not any(each.busy for each in self._connections):
             self._finish()
             return
-        if now >= self._stop.ends_at:
+        if now >= self._planned_stop.ends_at:
             for exchange in list(self._exchanges):
                 exchange.abort("the grace time of the planned stop is over")
             self._finish()
             return
-        self.loop.call_later(_STOP_CHECK_SECONDS, self._check_stop)
+        self.loop.call_later(_STOP_CHECK_INTERVAL_SECONDS, self._check_stop)
 
     def _finish(self) -> None:
         assert self._peers is not None
--- a/src/brassdrum/platform/serve.py
+++ b/src/brassdrum/platform/serve.py
@@ -31,13 +31,13 @@
     )
     store = PlatformStore(settings.store)
     daemon = GatewayDaemon(replace(settings.gateway, policy=policy), store, PlatformDialect())
-    daemon.stop_on(signal.SIGTERM, signal.SIGINT)
+    daemon.stop_on_signals(signal.SIGTERM, signal.SIGINT)
 
     def reload() -> GatewaySettings:
         return replace(read_settings(path).gateway, policy=policy)
 
-    daemon.reload_on(signal.SIGHUP, reload)
-    daemon.reload_when(SettingsFile(path).changed, reload)
+    daemon.reload_on_signal(signal.SIGHUP, reload)
+    daemon.reload_on_change(SettingsFile(path).changed, reload)
     daemon.metrics.count_dropped_lines(handler.dropped)
     daemon.run()
     handler.close()
