--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""Wire one gateway daemon: listeners, knowledge, peers, exchanges and the planned stop."""
+"""The gateway daemon: connects listeners, routing state, peers, requests and the planned stop."""
 
 from __future__ import annotations
 
@@ -61,21 +61,21 @@
 _logger = logging.getLogger(__name__)
 _CHART = load_chart("daemon")
 METRICS_PATH = "/metrics"
-# Idle connections are closed from here on, so that callers move to other daemons in time.
+# Delay from the start of a planned stop until idle connections are closed, so that callers switch
+# to other daemons before the end.
 _IDLE_CLOSE_DELAY_SECONDS = 1.5
 _STOP_CHECK_INTERVAL_SECONDS = 0.1
-# Part of the time in which unused memory must be free again for which it is held at once.
+# Duration of a reservation as a share of the time within which unused memory must be released.
 _RELEASE_TIME_RATIO = 0.8
-# A changed settings file is noticed within this time; one look at the file costs microseconds.
 _SETTINGS_CHECK_INTERVAL_SECONDS = 2.0
-# A daemon whose record the store may have lost writes it again after about this.
+# Mean delay before records are rewritten after the store was restored from a backup.
 _REWRITE_DELAY_SECONDS = 0.5
-# A request that comes when the planned stop is near is sent to another daemon at once.
+# Callers refused because of a planned stop should retry at another daemon immediately.
 _STOP_RETRY_AFTER_SECONDS = 0.01
 
 
 class GatewayDaemon:
-    """Run one daemon; every method runs in the loop's thread."""
+    """A gateway daemon; all methods run in the thread of its event loop."""
 
     def __init__(
         self,
@@ -97,7 +97,7 @@
             self.loop,
             self.pool,
             dialect,
-            # A daemon that died renews nothing: its holds end before the platform calls them lost.
+            # Reservations of a crashed daemon must expire before the platform reports a leak.
             min(bounds.max_reservation, bounds.reservation_release * _RELEASE_TIME_RATIO),
         )
         self._attempt_numbers = itertools.count(1)
@@ -134,7 +134,7 @@
         self._listeners: list[Listener] = []
 
     def run(self) -> None:
-        """Serve until a planned stop is done."""
+        """Serve until a planned stop has finished."""
         settings = self.settings
         self._listen(settings.caller_port, self._accept_caller)
         self._listen(settings.ready_port, self._accept_probe)
@@ -171,20 +171,20 @@
         log_events.STOPPED.write(_logger, left=len(self._exchanges))
 
     def stop_on_signals(self, *signals: signal.Signals) -> None:
-        """Begin the planned stop when the process gets one of the signals."""
+        """Install signal handlers that begin the planned stop."""
         for number in signals:
             signal.signal(number, lambda *_: self.loop.post(self.begin_stop))
 
     def reload_on_signal(
         self, number: signal.Signals, reload: Callable[[], GatewaySettings]
     ) -> None:
-        """Read the settings again when the process gets the signal."""
+        """Install a signal handler that reloads the settings."""
         signal.signal(number, lambda *_: self.loop.post(lambda: self._reload(reload)))
 
     def reload_on_change(
         self, changed: Callable[[], bool], reload: Callable[[], GatewaySettings]
     ) -> None:
-        """Read the settings again also when their file changes without a signal."""
+        """Poll ``changed`` and reload the settings when it returns True."""
         if changed():
             self._reload(reload)
         self.loop.call_later(
@@ -192,7 +192,7 @@
         )
 
     def begin_stop(self) -> None:
-        """Stop gracefully: not ready at once, then finish what callers still send."""
+        """Begin a planned stop: report not ready, then finish the remaining requests."""
         if self._state in ("leaving", "draining", "stopped"):
             return
         self._state = _CHART.next(self._state, "leave")
@@ -207,7 +207,7 @@
         self.loop.call_later(_IDLE_CLOSE_DELAY_SECONDS, self._close_idle)
         self.loop.call_later(_STOP_CHECK_INTERVAL_SECONDS, self._check_stop)
 
-    # What callers' connections ask.
+    # Responder interface, used by callers' connections.
 
     def limits(self) -> CallerLimits:
         """Return the limits in force."""
@@ -215,33 +215,33 @@
         return CallerLimits() if configuration is None else configuration.limits
 
     def closing(self) -> bool:
-        """Return whether connections shall end after their present answer."""
+        """Return whether connections should close after the current response."""
         return self._state not in ("starting", "ready")
 
     def handle(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> CallerHandler | None:
-        """Begin to answer a caller's request."""
+        """Begin to process a request; hold it if there is no configuration yet."""
         if self.knowledge.configuration is None and not self.closing():
-            early = self._hold_request(connection, head, body)
-            if early is not None:
-                return early
+            held = self._hold_request(connection, head, body)
+            if held is not None:
+                return held
         return self._handle(connection, head, body, self.loop.now())
 
     def _handle(
         self, connection: CallerConnection, head: RequestHead, body: bytes, arrived: float
     ) -> Exchange | None:
-        verdict = admit(self.knowledge, self.dialect, head)
-        if isinstance(verdict, Refusal):
-            self._refuse(connection, verdict)
+        admission = admit(self.knowledge, self.dialect, head)
+        if isinstance(admission, Refusal):
+            self._refuse(connection, admission)
             return None
-        request, route = verdict.request, verdict.route
+        request, route = admission.request, admission.route
         service = self.knowledge.choose_service(route, self._random)
         if self._would_be_aborted(request, route, service):
             refusal = Refusal(503, "about to stop", _STOP_RETRY_AFTER_SECONDS, request.id)
             self._refuse(connection, refusal)
             return None
-        exchange = Exchange(self, connection, request, body, route, verdict.organisation, arrived)
+        exchange = Exchange(self, connection, request, body, route, admission.organisation, arrived)
         exchange.service = service
         self._exchanges.add(exchange)
         self._retry_budget(exchange.service).record_request(self.loop.now())
@@ -251,38 +251,38 @@
     def _hold_request(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> HeldRequest | None:
-        """Let a request wait for the first configuration; return None where it may not."""
+        """Hold a request until the first configuration; return None if it can't be held."""
         try:
             request = self.dialect.read_request(head)
         except InvalidRequestError:
-            # It is refused for that as soon as it is admitted.
+            # Admission refuses it with the right status.
             return None
-        early = self._held_requests.hold(connection, head, body, request)
-        if early is not None:
+        held = self._held_requests.hold(connection, head, body, request)
+        if held is not None:
             log_events.HELD.write(
                 _logger, request=request.id, seconds=round(max_hold_seconds(request), 2)
             )
-        return early
+        return held
 
-    def _handle_held(self, early: HeldRequest) -> Exchange | None:
-        return self._handle(early.connection, early.head, early.body, early.arrived)
+    def _handle_held(self, held: HeldRequest) -> Exchange | None:
+        return self._handle(held.connection, held.head, held.body, held.arrived)
 
-    def _refuse_held(self, early: HeldRequest, detail: str) -> None:
-        """Ask a caller to come back as late as it does: nobody knows when the store is back."""
-        left = early.request.timeout - (self.loop.now() - early.arrived)
-        seconds = _STOP_RETRY_AFTER_SECONDS if self.closing() else max_retry_after(left)
-        self._refuse(early.connection, Refusal(503, detail, seconds, early.request.id))
+    def _refuse_held(self, held: HeldRequest, detail: str) -> None:
+        """Refuse a held request; without a stop, the caller should retry as late as it can."""
+        time_left = held.request.timeout - (self.loop.now() - held.arrived)
+        seconds = _STOP_RETRY_AFTER_SECONDS if self.closing() else max_retry_after(time_left)
+        self._refuse(held.connection, Refusal(503, detail, seconds, held.request.id))
 
     def _flush_seconds(self) -> float:
         assert self._peers is not None
         return self._peers.flush_seconds
 
     def _jitter(self, seconds: float) -> float:
-        """Return a time near to one, so that daemons do not act in step."""
+        """Randomize a delay, so that daemons don't act simultaneously."""
         return seconds * self._random.uniform(0.6, 1.4)
 
     def _would_be_aborted(self, request: DeclaredRequest, route: Route, service: str) -> bool:
-        """Return whether a planned stop would cut a request that is taken now."""
+        """Return whether a planned stop would abort a request that is accepted now."""
         if self._planned_stop is None:
             return False
         duration = declared_duration(route, request, self._engine_model(service))
@@ -291,13 +291,13 @@
     def _engine_model(self, service: str) -> EngineModel | None:
         configuration = self.knowledge.configuration
         assert configuration is not None
-        found = configuration.services_by_name.get(service)
-        return None if found is None else found.engine
+        entry = configuration.services_by_name.get(service)
+        return None if entry is None else entry.engine
 
-    # What exchanges ask.
+    # ExchangeContext interface, used by exchanges and attempts.
 
     def place(self, exchange: Exchange, need: PlacementRequest) -> Placement | None:
-        """Return where to send a request now."""
+        """Return the best placement for a request now, or None without a usable endpoint."""
         now = self.loop.now()
         usable = self.guard.eligible_endpoints(
             self.guard.standing(exchange.content_fingerprint, exchange.tried_endpoints),
@@ -315,7 +315,7 @@
         )
 
     def may_wait(self, exchange: Exchange) -> bool:
-        """Return whether a request may wait for calmer engines; near its end a stop allows none."""
+        """Return whether a request may wait for a better placement before a planned stop ends."""
         if self._planned_stop is None:
             return True
         engine = self._engine_model(exchange.service)
@@ -323,39 +323,39 @@
         return self._planned_stop.may_wait(self.loop.now(), duration)
 
     def next_attempt_number(self) -> int:
-        """Return a number that no other attempt of this daemon has."""
+        """Return a number that is unique among this daemon's attempts."""
         return next(self._attempt_numbers)
 
     def consume_retry(self, service: str) -> bool:
-        """Take one repeated send from the shared budget, or return False."""
+        """Take one retry from the shared budget, or return False if it is exhausted."""
         assert self._peers is not None
         return self._retry_budget(service).try_consume(self.loop.now(), self._peers.live)
 
     def retries_left(self, service: str) -> float:
-        """Return how many repeats this daemon may still send."""
+        """Return the number of retries that this daemon may still send."""
         assert self._peers is not None
         return self._retry_budget(service).remaining(self.loop.now(), self._peers.live)
 
     def response_interrupted(self, attempt: Attempt, lost: LostRequest) -> None:
-        """Find out whether the endpoint has ended, unless it was about to leave."""
+        """Check whether the endpoint has exited, unless it was draining."""
         entry = self.knowledge.endpoints_by_id.get(attempt.endpoint)
         if entry is not None and not entry.draining:
             self._exit_detector.response_interrupted(entry, lost)
 
     def load_changed(self) -> None:
-        """Look at the waiting requests, and tell peers soon."""
+        """Schedule a review of waiting requests and a message to peers."""
         assert self._peers is not None
         self.wait_queue.schedule_review()
         self._peers.load_changed()
 
     def log_decision(self, event: LogEvent, **values: object) -> None:
-        """Log a decision that touches a request."""
+        """Log a decision about a request."""
         event.write(_logger, **values)
 
     def exchange_finished(
         self, exchange: Exchange, outcome: Outcome, status: int, detail: str
     ) -> None:
-        """Log and count the end of a request."""
+        """Log the result of a request and update metrics."""
         self._exchanges.discard(exchange)
         report = exchange.latency_report()
         self.metrics.ended(exchange, outcome, report)
@@ -385,11 +385,11 @@
         else:
             log_events.SERVED.write(_logger, pause_ms=report.longest_pause_ms, **values)
 
-    # Inner wiring.
+    # Implementation.
 
-    def _endpoint_exited(self, entry: EndpointEntry, witnesses: list[AffectedRequest]) -> None:
-        self.beliefs.endpoint_failed(entry.id, certain=True, detail="its process has ended")
-        self.guard.endpoint_ended(entry, witnesses)
+    def _endpoint_exited(self, entry: EndpointEntry, affected: list[AffectedRequest]) -> None:
+        self.beliefs.endpoint_failed(entry.id, certain=True, detail="endpoint process exited")
+        self.guard.endpoint_ended(entry, affected)
         assert self._peers is not None
         self._peers.load_changed()
         self.metrics.endpoint_ended()
@@ -397,16 +397,16 @@
             _logger,
             endpoint=entry.id,
             service=entry.service,
-            requests=[each.request for each in witnesses],
-            contents=[each.content for each in witnesses],
-            began=[each.request for each in witnesses if each.began],
+            requests=[each.request for each in affected],
+            contents=[each.content for each in affected],
+            began=[each.request for each in affected if each.began],
         )
 
     def _listen(self, port: int, accept: Callable[[socket.socket], None]) -> None:
         self._listeners.append(Listener(self.loop, self.settings.host, port, accept))
 
     def _listen_for_scrapers(self, port: int) -> None:
-        """Serve metrics where the port is free; callers are served in any case."""
+        """Serve metrics; log an unavailable port instead of failing."""
         try:
             self._listen(port, self._accept_scraper)
         except OSError as error:
@@ -427,7 +427,7 @@
         CallerConnection(self.loop, sock, PageResponder(pages), _ignore)
 
     def ready(self) -> bool:
-        """Return whether the balancer shall send new connections."""
+        """Return whether the balancer should send new connections."""
         return not self.closing() and bool(self.knowledge.endpoints_by_id)
 
     def _address(self) -> DaemonAddress:
@@ -439,7 +439,7 @@
         return self._store.daemons()
 
     def _rewrite_records(self) -> None:
-        """Write to the store what it may have lost; not all daemons in the same moment."""
+        """Rewrite records that the store may have lost, at a random time in each daemon."""
         self.loop.call_later(self._jitter(_REWRITE_DELAY_SECONDS), self._reannounce)
         self.guard.rewrite_records()
 
@@ -493,16 +493,18 @@
 
     def _reload(self, reload: Callable[[], GatewaySettings]) -> None:
         try:
-            fresh = reload()
+            new_settings = reload()
         except InvalidDocumentError as error:
             log_events.SETTINGS_KEPT.write(_logger, error=f"{error.message} {error.advice}")
             return
-        changed = fresh != self.settings
-        # Addresses are bound and peers know this daemon by them; they change with a restart.
-        self.settings = replace(self.settings, bounds=fresh.bounds, policy=fresh.policy)
-        self._policy = policies.get(fresh.policy)
-        self._follower.set_bounds(fresh.bounds)
-        log_events.SETTINGS_READ.write(_logger, zone=fresh.zone, changed=changed)
+        changed = new_settings != self.settings
+        # Changed addresses take effect only at a restart.
+        self.settings = replace(
+            self.settings, bounds=new_settings.bounds, policy=new_settings.policy
+        )
+        self._policy = policies.get(new_settings.policy)
+        self._follower.set_bounds(new_settings.bounds)
+        log_events.SETTINGS_READ.write(_logger, zone=new_settings.zone, changed=changed)
 
     def _close_idle(self) -> None:
         for connection in list(self._connections):
@@ -511,15 +513,19 @@
     def _check_stop(self) -> None:
         now = self.loop.now()
         assert self._planned_stop is not None
-        noticed = self._planned_stop.noticed(now)
-        if noticed:
+        balancer_noticed = self._planned_stop.noticed(now)
+        if balancer_noticed:
             self._close_idle()
-        if noticed and not self._exchanges and not any(each.busy for each in self._connections):
+        if (
+            balancer_noticed
+            and not self._exchanges
+            and not any(each.busy for each in self._connections)
+        ):
             self._finish()
             return
         if now >= self._planned_stop.ends_at:
             for exchange in list(self._exchanges):
-                exchange.abort("the grace time of the planned stop is over")
+                exchange.abort("grace period of the planned stop expired")
             self._finish()
             return
         self.loop.call_later(_STOP_CHECK_INTERVAL_SECONDS, self._check_stop)
@@ -534,4 +540,4 @@
 
 
 def _ignore(_connection: CallerConnection) -> None:
-    """Forget nothing: these connections are not listed."""
+    """Ignore the end of a connection that is not tracked."""
