--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -34,7 +34,7 @@
 )
 from brassdrum.gateway.placing.policies import policies
 from brassdrum.gateway.request.retry_budget import SharedRetryBudget
-from brassdrum.gateway.stopping import PlannedStop, declared_duration
+from brassdrum.gateway.stopping import PlannedStop, estimate_duration
 from features.gateway_world import HOST, engine_entry, route
 
 ENGINE = EngineModel(8, 405_000, 1.31, 0.001, 0.002, 154.0, 0.162, 2048, 34, 0.1)
@@ -211,7 +211,7 @@
 def step_stream(context, tokens, objective):
     request = DeclaredRequest("a", b"POST", b"/", HOST, [], 10.0, None, 5000, tokens)
     streams = route("text", RouteKind.STREAM, objective=objective)
-    context.duration = declared_duration(streams, request, ENGINE)
+    context.duration = estimate_duration(streams, request, ENGINE)
 
 
 @when("it arrives {seconds:g} seconds after the stop began")
@@ -221,7 +221,7 @@
 
 @then("it is {fate} by the stopping daemon")
 def step_fate(context, fate):
-    taken = context.stop.takes(context.now, context.duration)
+    taken = context.stop.accepts(context.now, context.duration)
     assert taken == (fate == "taken"), context.duration
 
 
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -52,7 +52,7 @@
 from brassdrum.gateway.request.patience import max_retry_after
 from brassdrum.gateway.request.retry_budget import SharedRetryBudget
 from brassdrum.gateway.request.waiting import WaitQueue
-from brassdrum.gateway.stopping import PlannedStop, declared_duration
+from brassdrum.gateway.stopping import PlannedStop, estimate_duration
 from brassdrum.telemetry import log_events
 from brassdrum.telemetry.log_events import LogEvent
 
@@ -158,7 +158,7 @@
         self._follower.start(self._peers, self._announce)
         peers = self._peers
         self.guard.start(self._store, self._follower.submit, lambda: peers.rank == 0)
-        self.metrics.watch(
+        self.metrics.add_gauges(
             MetricsSources(
                 self.knowledge, self._follower, self._peers, self.pool, self._store, self.guard
             )
@@ -285,8 +285,8 @@
         """Return whether a planned stop would abort a request that is accepted now."""
         if self._planned_stop is None:
             return False
-        duration = declared_duration(route, request, self._engine_model(service))
-        return not self._planned_stop.takes(self.loop.now(), duration)
+        duration = estimate_duration(route, request, self._engine_model(service))
+        return not self._planned_stop.accepts(self.loop.now(), duration)
 
     def _engine_model(self, service: str) -> EngineModel | None:
         configuration = self.knowledge.configuration
@@ -319,7 +319,7 @@
         if self._planned_stop is None:
             return True
         engine = self._engine_model(exchange.service)
-        duration = declared_duration(exchange.route, exchange.request, engine)
+        duration = estimate_duration(exchange.route, exchange.request, engine)
         return self._planned_stop.may_wait(self.loop.now(), duration)
 
     def next_attempt_number(self) -> int:
@@ -358,7 +358,7 @@
         """Log the result of a request and update metrics."""
         self._exchanges.discard(exchange)
         report = exchange.latency_report()
-        self.metrics.ended(exchange, outcome, report)
+        self.metrics.record_result(exchange, outcome, report)
         values = {
             "request": exchange.request.id,
             "route": exchange.route.name,
@@ -392,7 +392,7 @@
         self.guard.endpoint_ended(entry, affected)
         assert self._peers is not None
         self._peers.load_changed()
-        self.metrics.endpoint_ended()
+        self.metrics.record_endpoint_exit()
         log_events.ENDPOINT_ENDED.write(
             _logger,
             endpoint=entry.id,
@@ -481,7 +481,7 @@
         headers: Headers = []
         if refusal.retry_after is not None:
             headers.append((b"Retry-After", b"%.2f" % refusal.retry_after))
-        self.metrics.refused(refusal.status)
+        self.metrics.record_refusal(refusal.status)
         log_events.REFUSED.write(
             _logger,
             request=refusal.request_id,
@@ -513,7 +513,7 @@
     def _check_stop(self) -> None:
         now = self.loop.now()
         assert self._planned_stop is not None
-        balancer_noticed = self._planned_stop.noticed(now)
+        balancer_noticed = self._planned_stop.balancer_noticed(now)
         if balancer_noticed:
             self._close_idle()
         if (
--- a/src/brassdrum/gateway/pages.py
+++ b/src/brassdrum/gateway/pages.py
@@ -38,7 +38,7 @@
     """Hold a page's content type and what makes it."""
 
     content_type: bytes
-    make: Callable[[], bytes]
+    render: Callable[[], bytes]
 
 
 class PageResponder(ReadinessResponder):
@@ -56,5 +56,5 @@
         if page is None:
             connection.answer(404, [], b"")
             return None
-        connection.answer(200, [(b"Content-Type", page.content_type)], page.make())
+        connection.answer(200, [(b"Content-Type", page.content_type)], page.render())
         return None
--- a/src/brassdrum/platform/serve.py
+++ b/src/brassdrum/platform/serve.py
@@ -38,7 +38,7 @@
 
     daemon.reload_on_signal(signal.SIGHUP, reload)
     daemon.reload_on_change(SettingsFile(path).changed, reload)
-    daemon.metrics.count_dropped_lines(handler.dropped)
+    daemon.metrics.add_dropped_lines_gauge(handler.dropped)
     daemon.run()
     handler.close()
     return 0
