--- a/src/brassdrum/gateway/stopping.py
+++ b/src/brassdrum/gateway/stopping.py
@@ -1,4 +1,4 @@
-"""Decide what a daemon still takes and when it ends during a planned stop; pure decisions."""
+"""Decide which requests are accepted during a planned stop, and when it ends; no side effects."""
 
 from __future__ import annotations
 
@@ -8,47 +8,48 @@
 
 __all__ = ["DurationEstimate", "PlannedStop", "estimate_duration"]
 
-# The balancer asks each second and acts on the second miss; it may still send for this long.
+# The balancer probes readiness every second and reacts to the second failure, so new connections
+# may arrive for this long.
 _BALANCER_NOTICE_SECONDS = 3.2
-# Until this part of the grace time callers could not know of the stop: a request is taken then
-# also if it ends in time only on engines without other work.
+# Share of the grace time in which callers are not yet aware of the stop. Requests are accepted then
+# even if only an unloaded engine could finish them in time.
 _UNNOTICED_GRACE_RATIO = 0.35
-# What still runs this long before the end of the grace time is broken off by this daemon itself.
+# Remaining requests are aborted this long before the end of the grace time.
 _ABORT_MARGIN_SECONDS = 0.6
-# Answers take up to this much longer than their tokens would on an idle engine.
+# Maximum decode time on a loaded engine, relative to an unloaded one.
 _LOAD_FACTOR = 2.0
 _MS_PER_SECOND = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedStop:
-    """Hold when a planned stop began and how many seconds it may take."""
+    """A planned stop; ``grace`` is its maximum duration in seconds."""
 
     began_at: float
     grace: float
 
     @property
     def ends_at(self) -> float:
-        """Return when the last requests are broken off."""
+        """Return the time when remaining requests are aborted."""
         return self.began_at + self.grace - _ABORT_MARGIN_SECONDS
 
     def balancer_noticed(self, now: float) -> bool:
-        """Return whether the balancer sends no new connections any more."""
+        """Return whether the balancer has stopped sending new connections."""
         return now - self.began_at >= _BALANCER_NOTICE_SECONDS
 
     def accepts(self, now: float, duration: DurationEstimate) -> bool:
-        """Return whether a request is taken now."""
+        """Return whether a request that arrives now is accepted."""
         unnoticed = now - self.began_at <= self.grace * _UNNOTICED_GRACE_RATIO
         return now + (duration.unloaded if unnoticed else duration.maximum) < self.ends_at
 
     def may_wait(self, now: float, duration: DurationEstimate) -> bool:
-        """Return whether a request that was taken may wait for calmer engines."""
+        """Return whether an accepted request may wait for less loaded engines."""
         return now + duration.maximum < self.ends_at
 
 
 @dataclass(frozen=True, slots=True)
 class DurationEstimate:
-    """Hold how long an answer takes in seconds: on idle engines, and at most."""
+    """Estimated duration of a response in seconds, on unloaded engines and at most."""
 
     unloaded: float
     maximum: float
@@ -57,7 +58,7 @@
 def estimate_duration(
     route: Route, request: DeclaredRequest, engine: EngineModel | None
 ) -> DurationEstimate:
-    """Return how long an answer takes, by what the request and its engine declare."""
+    """Estimate the duration of a response from the request, its route and the cost model."""
     if engine is None or not route.streams:
         maximum = min(route.timeout, _LOAD_FACTOR * route.objective)
         return DurationEstimate(min(maximum, route.objective), maximum)
