--- a/src/brassdrum/gateway/pages.py
+++ b/src/brassdrum/gateway/pages.py
@@ -1,4 +1,4 @@
-"""Answer the balancer, peers and collectors on their own addresses."""
+"""HTTP responders for readiness probes of the balancer and for pages such as metrics."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 
 
 class ReadinessResponder:
-    """Answer the balancer's question."""
+    """Respond to readiness probes."""
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         self._ready = ready
 
     def limits(self) -> CallerLimits:
-        """Return limits that fit the balancer."""
+        """Return the default limits."""
         return CallerLimits()
 
     def closing(self) -> bool:
-        """Keep the balancer's connection."""
+        """Return False: connections are kept open."""
         return False
 
     def handle(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> CallerHandler | None:
-        """Answer 200 while new connections are welcome."""
+        """Respond with status 200 if the daemon is ready, or else 503."""
         connection.answer(200 if self._ready() else 503, [], b"")
         return None
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Hold a page's content type and what makes it."""
+    """The content type of a page and the function that renders it."""
 
     content_type: bytes
     render: Callable[[], bytes]
 
 
 class PageResponder(ReadinessResponder):
-    """Serve pages by path to peers and operators."""
+    """Serve pages by path."""
 
     def __init__(self, pages_by_path: Mapping[str, Page]) -> None:
         super().__init__(lambda: True)
@@ -51,7 +51,7 @@
     def handle(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> CallerHandler | None:
-        """Answer with the page, or 404."""
+        """Respond with the page, or with status 404."""
         page = self._pages_by_path.get(head.target.decode("latin-1"))
         if page is None:
             connection.answer(404, [], b"")
