--- a/src/brassdrum/gateway/measures.py
+++ b/src/brassdrum/gateway/measures.py
@@ -1,4 +1,4 @@
-"""Counters, histograms and gauges of one gateway daemon, by OpenTelemetry."""
+"""OpenTelemetry metrics of a gateway daemon."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 __all__ = ["GatewayMetrics", "MetricsSources"]
 
-# Bounds of the bands of prompt length, in tokens, as the glossary names them.
+# Minimum prompt lengths of the bands that the glossary defines.
 _MIN_MEDIUM_PROMPT_TOKENS = 10_000
 _MIN_LONG_PROMPT_TOKENS = 100_000
-# The first event's time over its prediction: a model that is right fills the two around 1.
+# Actual over predicted time to the first event; accurate predictions are close to 1.
 _RATIO_BUCKETS = (0.25, 0.5, 0.75, 1, 1.5, 2, 3, 5, 10)
 _SECONDS_BUCKETS = (0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.5, 0.75, 1, 1.5, 2, 3, 4, 6, 10)
 
 
 @dataclass(frozen=True, slots=True)
 class MetricsSources:
-    """Hold what gauges look at when the page is asked for."""
+    """The objects that gauges read at each scrape."""
 
     routing_state: RoutingState
     follower: Follower
@@ -44,7 +44,7 @@
 
 
 class GatewayMetrics:
-    """Count what happens to requests and show what the daemon believes."""
+    """Metrics of requests and of the daemon's state."""
 
     def __init__(self, daemon: str) -> None:
         self._registry = prometheus_client.CollectorRegistry()
@@ -88,7 +88,7 @@
         )
 
     def record_result(self, exchange: Exchange, outcome: Outcome, report: LatencyReport) -> None:
-        """Count a request that got its final answer."""
+        """Record the result and the latency of a finished request."""
         band = {"band": _band(exchange.request.prompt_tokens)}
         named = {**band, "outcome": outcome.name.lower(), "late": str(report.late).lower()}
         self._requests.add(1, named)
@@ -101,15 +101,15 @@
             self._prediction_ratio.record(report.prediction_ratio, band)
 
     def record_refusal(self, status: int) -> None:
-        """Count a request that no endpoint was chosen for."""
+        """Count a request that was refused before an endpoint was chosen."""
         self._refusals.add(1, {"status": str(status)})
 
     def record_endpoint_exit(self) -> None:
-        """Count an endpoint whose process ended under requests of this daemon."""
+        """Count an endpoint whose process exited during requests of this daemon."""
         self._endpoint_exits.add(1)
 
     def add_gauges(self, sources: MetricsSources) -> None:
-        """Show what the daemon believes, looked up when the page is asked for."""
+        """Add gauges for the state of the daemon, read at each scrape."""
         routing_state, follower = sources.routing_state, sources.follower
         self._add_gauge("version", "Version in force.", lambda: routing_state.version)
         self._add_gauge(
@@ -123,11 +123,11 @@
         self._add_gauge("connections_opened", "Connections opened.", lambda: sources.pool.opened)
 
     def add_dropped_lines_gauge(self, dropped: Mapping[str, int]) -> None:
-        """Show how many log lines were left out."""
+        """Add a gauge for the number of dropped log lines."""
         self._add_gauge("log_lines_left_out", "Log lines left out.", lambda: sum(dropped.values()))
 
     def page(self) -> bytes:
-        """Return the page that collectors read."""
+        """Return all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self._registry)
 
     def _add_gauge(self, name: str, description: str, value) -> None:
