--- a/src/brassdrum/gateway/__init__.py
+++ b/src/brassdrum/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Serve requests whose length is declared in headers, and pass answers on unchanged."""
+"""A gateway for requests that declare their length in headers; responses are relayed unchanged."""
