--- a/src/brassdrum/gateway/model.py
+++ b/src/brassdrum/gateway/model.py
@@ -205,8 +205,8 @@
     @property
     def size(self) -> int:
         """Return the size of the request line and headers in bytes, without separators."""
-        named = sum(len(name) + len(value) for name, value in self.headers)
-        return len(self.method) + len(self.target) + named
+        header_bytes = sum(len(name) + len(value) for name, value in self.headers)
+        return len(self.method) + len(self.target) + header_bytes
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/brassdrum/gateway/stopping.py
+++ b/src/brassdrum/gateway/stopping.py
@@ -16,7 +16,7 @@
 _UNNOTICED_GRACE_RATIO = 0.35
 # Remaining requests are aborted this long before the end of the grace time.
 _ABORT_MARGIN_SECONDS = 0.6
-# Maximum decode time on a loaded engine, relative to an unloaded one.
+# Maximum response time under load, relative to that on an unloaded engine.
 _LOAD_FACTOR = 2.0
 _MS_PER_SECOND = 1000.0
 
