--- a/src/brassdrum/gateway/model.py
+++ b/src/brassdrum/gateway/model.py
@@ -296,10 +296,10 @@
     def read_reply(self, request: DeclaredRequest, status: int, headers: Headers) -> Reply:
         """Classify the response of an endpoint."""
 
-    def reserve(self, ticket: str, tokens: int, seconds: float, *, wait: bool) -> bytes:
+    def encode_reserve(self, ticket: str, tokens: int, seconds: float, *, wait: bool) -> bytes:
         """Return the body of a request that reserves memory at an endpoint."""
 
-    def release(self, ticket: str) -> bytes:
+    def encode_release(self, ticket: str) -> bytes:
         """Return the body of a request that releases reserved memory."""
 
     @property
--- a/src/brassdrum/gateway/placing/reservations.py
+++ b/src/brassdrum/gateway/placing/reservations.py
@@ -189,7 +189,7 @@
 
     def reserve(self, reservation: Reservation, on_done: Callable[[bool], None]) -> None:
         """Reserve memory at one endpoint or renew the reservation."""
-        body = self._dialect.reserve(
+        body = self._dialect.encode_reserve(
             reservation.ticket, reservation.tokens, self.hold_seconds, wait=False
         )
         self._send(reservation, body, on_done)
@@ -201,7 +201,7 @@
             if not granted and attempts > 1:
                 self.release_one(reservation, attempts - 1)
 
-        self._send(reservation, self._dialect.release(reservation.ticket), repeat)
+        self._send(reservation, self._dialect.encode_release(reservation.ticket), repeat)
 
     def probe(self, address: str, on_done: Callable[[bool], None]) -> None:
         """Report whether an endpoint answers."""
--- a/src/brassdrum/platform/dialect.py
+++ b/src/brassdrum/platform/dialect.py
@@ -109,13 +109,13 @@
             None if culprit is None else culprit.decode("latin-1"),
         )
 
-    def reserve(self, ticket: str, tokens: int, seconds: float, *, wait: bool) -> bytes:
+    def encode_reserve(self, ticket: str, tokens: int, seconds: float, *, wait: bool) -> bytes:
         """Return the order that holds memory at an endpoint."""
         hold = int(seconds * 1000)
         content = {"op": "reserve", "id": ticket, "token_count": tokens, "hold_ms": hold}
         return json.dumps({**content, "wait": wait}).encode()
 
-    def release(self, ticket: str) -> bytes:
+    def encode_release(self, ticket: str) -> bytes:
         """Return the order that gives held memory back."""
         return json.dumps({"op": "release", "id": ticket}).encode()
 
