--- a/features/gateway_world.py
+++ b/features/gateway_world.py
@@ -19,7 +19,7 @@
     RouteKind,
     RouteTarget,
     Service,
-    SharedRecord,
+    StoreRecord,
 )
 from brassdrum.platform.dialect import PlatformDialect
 from brassdrum.registry import Registry
@@ -74,7 +74,7 @@
         self._count_call()
         return list(self.quarantine_by_content.values())
 
-    def keep_quarantine(self, record):
+    def save_quarantine(self, record):
         """Store a record, or delete it if its value is empty."""
         self._count_call()
         if record.value:
@@ -98,7 +98,7 @@
     def _record(self, key, value):
         text = repr(value).encode()
         self._object_by_value[text] = value
-        return SharedRecord(key, text)
+        return StoreRecord(key, text)
 
 
 class FakeEndpoint:
@@ -430,7 +430,7 @@
         "priority": 1,
         "max_attempts": 2,
         "targets": (RouteTarget(SERVICE, 1.0),),
-        "longest_pause": 0.25,
+        "pause_objective": 0.25,
     }
     return Route(name, HOST, f"/{name}/", kind, **{**values, **fields})
 
@@ -487,7 +487,7 @@
 
     def begin_planned_stop(self):
         """Begin a planned stop."""
-        self.daemon.loop.post(self.daemon.leave)
+        self.daemon.loop.post(self.daemon.begin_stop)
 
     def close(self):
         """Stop immediately."""
