--- a/src/brassdrum/daemon/answers.py
+++ b/src/brassdrum/daemon/answers.py
@@ -18,12 +18,12 @@
     completion_tokens: int
 
     @property
-    def total(self) -> int:
+    def total_tokens(self) -> int:
         """Return all tokens."""
         return self.prompt_tokens + self.completion_tokens
 
     @classmethod
-    def in_event(cls, data: bytes) -> Usage | None:
+    def from_event(cls, data: bytes) -> Usage | None:
         """Return the usage that an event carries, or None."""
         if b'"usage"' not in data:
             return None
--- a/src/brassdrum/daemon/attempts.py
+++ b/src/brassdrum/daemon/attempts.py
@@ -115,9 +115,12 @@
             self._core.explanations.add(
                 scope.request_id,
                 "routed",
-                f"attempt {self._attempt} to {name} after {placement.waited:.3f} s in the queue",
+                f"attempt {self._attempt} to {name} "
+                f"after {placement.wait_seconds:.3f} s in the queue",
             )
-        observe(self._core.metrics.queue_wait.record, placement.waited, {"band": work.band.value})
+        observe(
+            self._core.metrics.queue_wait.record, placement.wait_seconds, {"band": work.band.value}
+        )
         return placement
 
     def _judge_endpoint(self, placement: Placement, error: BrassdrumError) -> None:
--- a/src/brassdrum/daemon/calls.py
+++ b/src/brassdrum/daemon/calls.py
@@ -10,7 +10,7 @@
 from brassdrum.daemon.claiming import claim, replay
 from brassdrum.daemon.core import Core, Scope, content_of
 from brassdrum.daemon.dispatcher import Placement
-from brassdrum.daemon.finishing import Ending, handle
+from brassdrum.daemon.finishing import RequestLifecycle, handle
 from brassdrum.endpoints.service import ServiceAnswer, ServiceCallRequest
 from brassdrum.errors import UnknownModelError
 from brassdrum.outcomes.claims import OutcomeRecord
@@ -46,7 +46,7 @@
         """Answer one call."""
         return handle(self._core, request, self._run)
 
-    def _run(self, scope: Scope, ending: Ending) -> Response:
+    def _run(self, scope: Scope, lifecycle: RequestLifecycle) -> Response:
         body = scope.request.body()
         content = content_of(scope, body)
         self._core.guard.check(content)
@@ -56,18 +56,20 @@
             service = self._service(scope, name)
             self._core.limits.acquire(scope.organisation, _CALL_TOKENS)
             work = self._work(scope, name)
-            ending.admitted(work)
+            lifecycle.admitted(work)
         ticket = claim(self._core, scope, body)
         if isinstance(ticket, OutcomeRecord):
-            ending.succeeded(None)
+            lifecycle.succeeded(None)
             return replay(ticket)
-        ending.ticket = ticket
-        ending.repeatable = scope.may_repeat and is_repeatable(service, scope.request.method, path)
-        attempts = Attempts(self._core, scope, content, repeatable=ending.repeatable)
+        lifecycle.ticket = ticket
+        lifecycle.repeatable = scope.may_repeat and is_repeatable(
+            service, scope.request.method, path
+        )
+        attempts = Attempts(self._core, scope, content, repeatable=lifecycle.repeatable)
         answer = attempts.run(work, lambda placement: self._send(scope, placement, path, body))
         self._core.guard.served(content)
         ticket.finish(answer.status, answer.content_type, answer.body)
-        ending.succeeded(None)
+        lifecycle.succeeded(None)
         return Response(
             answer.status,
             [answer.body],
--- a/src/brassdrum/daemon/cancels.py
+++ b/src/brassdrum/daemon/cancels.py
@@ -9,7 +9,7 @@
 from brassdrum.clock import Clock
 from brassdrum.endpoints.engine import EngineClient
 
-__all__ = ["Cancels"]
+__all__ = ["CancelQueue"]
 
 _GIVE_UP_SECONDS = 60.0
 _RETRY_SECONDS = 0.5
@@ -24,7 +24,7 @@
     since: float
 
 
-class Cancels:
+class CancelQueue:
     """Keep cancellations that an engine has not confirmed."""
 
     def __init__(self, clock: Clock) -> None:
--- a/src/brassdrum/daemon/core.py
+++ b/src/brassdrum/daemon/core.py
@@ -10,7 +10,7 @@
 from brassdrum.clock import Clock
 from brassdrum.contracts.documents import Contract
 from brassdrum.contracts.view import FleetView
-from brassdrum.daemon.cancels import Cancels
+from brassdrum.daemon.cancels import CancelQueue
 from brassdrum.daemon.content_guard import ContentGuard
 from brassdrum.daemon.control import ControlState
 from brassdrum.daemon.dispatcher import Dispatcher
@@ -95,7 +95,7 @@
     claims: ShardedClaims
     resume_tokens: ResumeTokens
     watch: Watch
-    cancels: Cancels
+    cancels: CancelQueue
     relay: Relay
     groups: Groups
     explanations: Explanations
--- a/src/brassdrum/daemon/dispatcher.py
+++ b/src/brassdrum/daemon/dispatcher.py
@@ -37,7 +37,7 @@
     state: EndpointState
     own: OwnWork
     idle_at_start: bool
-    waited: float
+    wait_seconds: float
 
 
 class Dispatcher:
@@ -65,13 +65,13 @@
                 self._fail(
                     shed, QueueFullError("The queue is full.", retry_after=self._retry_after())
                 )
-            self._pump()
+            self._place_queued()
         try:
             return self._wait(work, future, disconnected)
         finally:
             self._forget(work, future)
 
-    def adopt(self, work: Work, endpoint: str) -> Placement:
+    def place_reserved(self, work: Work, endpoint: str) -> Placement:
         """Place work whose endpoint was chosen and reserved elsewhere."""
         with self.lock:
             now = self._clock.monotonic()
@@ -81,11 +81,11 @@
             self.queue.charge(work, now)
             return Placement(work, state, own, False, max(0.0, now - work.arrived))
 
-    def first_token(self, placement: Placement) -> None:
+    def record_first_token(self, placement: Placement) -> None:
         """Note that the prefill is over."""
         with self.lock:
             placement.own.first_token = True
-            self._pump()
+            self._place_queued()
 
     def release(self, placement: Placement, real_cost: float | None = None) -> None:
         """Give the place back."""
@@ -93,14 +93,14 @@
             placement.state.own_by_id.pop(placement.work.id, None)
             if real_cost is not None:
                 self.queue.correct(placement.work.organisation, placement.work, real_cost)
-            self._pump()
+            self._place_queued()
 
-    def pump(self) -> None:
+    def place_queued(self) -> None:
         """Place what can be placed, after something outside changed."""
         with self.lock:
-            self._pump()
+            self._place_queued()
 
-    def refused(self, organisation: str) -> None:
+    def record_refusal(self, organisation: str) -> None:
         """Count a refusal in an organisation's account."""
         with self.lock:
             self.queue.account(organisation).refused += 1
@@ -142,7 +142,7 @@
         if future is not None and not future.done():
             future.set_exception(error)
 
-    def _pump(self) -> None:
+    def _place_queued(self) -> None:
         if len(self.queue) == 0:
             return
         now = self._clock.monotonic()
--- a/src/brassdrum/daemon/endpoint_watch.py
+++ b/src/brassdrum/daemon/endpoint_watch.py
@@ -49,7 +49,7 @@
         observed = self._observed()
         mine = [item for item in engines if item.name in known and observed(item.name)]
         list(self._executor.map(self._poll, mine))
-        self._dispatcher.pump()
+        self._dispatcher.place_queued()
 
     def close(self) -> None:
         """Stop polling."""
--- a/src/brassdrum/daemon/engine_run.py
+++ b/src/brassdrum/daemon/engine_run.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass
 
 from brassdrum.clock import Clock
-from brassdrum.daemon.cancels import Cancels
+from brassdrum.daemon.cancels import CancelQueue
 from brassdrum.daemon.watch import AbortReason, Watch, Watched
 from brassdrum.endpoints.engine import EngineClient, EngineConnection
 from brassdrum.errors import CallerDisconnectedError, DeadlineExceededError, EndpointFailedError
 from brassdrum.http_pool import Connected, ExchangeFailedError
 from brassdrum.outcomes.stream import CheckedEvent, EventVerdict, StreamAssembler
 
-__all__ = ["EngineRun", "RunTimes", "StreamIdentity"]
+__all__ = ["EngineRun", "RunTimeouts", "StreamIdentity"]
 
 _RESUMES_WITHOUT_PROGRESS = 10
 _RESUME_PAUSE_SECONDS = 0.05
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunTimes:
+class RunTimeouts:
     """Bound a run: monotonic times of its end and first event, seconds between events."""
 
     deadline: float
@@ -54,8 +54,8 @@
         *,
         clock: Clock,
         watch: Watch,
-        cancels: Cancels,
-        times: RunTimes,
+        cancels: CancelQueue,
+        times: RunTimeouts,
         disconnected: Callable[[], bool],
         on_dropped: Callable[[EventVerdict], None],
         next_index: int = 0,
@@ -78,7 +78,7 @@
         self._resumes = 0
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Return whether the answer arrived whole."""
         return self._assembler.complete
 
@@ -88,7 +88,7 @@
         return self._assembler.broken
 
     @property
-    def ended(self) -> bool:
+    def closed(self) -> bool:
         """Return whether the exchange was closed."""
         return self._closed
 
@@ -116,7 +116,7 @@
         """Wait for more events; none when the answer is whole. Raises as ``start`` does."""
         assert self._connection is not None
         try:
-            while not self.whole:
+            while not self.complete:
                 events = self.feed(self._read())
                 if events:
                     return events
@@ -130,7 +130,7 @@
     def feed(self, data: bytes) -> list[CheckedEvent]:
         """Return the events that became complete; no data means that the connection ended."""
         if not data:
-            self._assembler.broken = not self.whole
+            self._assembler.broken = not self.complete
             return []
         events = self._assembler.feed(data)
         if events:
@@ -174,7 +174,7 @@
         self._watch.remove(self._watched)
         if self._connection is not None:
             self._connection.close()
-        if self._may_run and not self.whole:
+        if self._may_run and not self.complete:
             self._cancels.add(self._engine, self._identity.stream)
 
     def _first_connection(self) -> EngineConnection:
--- a/src/brassdrum/daemon/finishing.py
+++ b/src/brassdrum/daemon/finishing.py
@@ -15,13 +15,13 @@
 from brassdrum.telemetry.observe import observe
 from brassdrum.wsgi import Request, Response
 
-__all__ = ["Ending", "handle"]
+__all__ = ["RequestLifecycle", "handle"]
 
 _logger = logging.getLogger(__name__)
 _DECODE_WEIGHT = 4
 
 
-class Ending:
+class RequestLifecycle:
     """Hold what has to be undone or told when a request ends, however it ends."""
 
     def __init__(self, core: Core, scope: Scope) -> None:
@@ -78,7 +78,7 @@
         self._core.explanations.add(
             self._scope.request_id, "ended", f"{error.code} ran={error.ran.value}: {error.message}"
         )
-        self._core.dispatcher.refused(self._scope.organisation)
+        self._core.dispatcher.record_refusal(self._scope.organisation)
         self._end(error.code, None)
 
     def interrupted(self) -> None:
@@ -132,18 +132,20 @@
 
 
 def _total(usage: Usage | None) -> int:
-    return 0 if usage is None else usage.total
+    return 0 if usage is None else usage.total_tokens
 
 
-def handle(core: Core, request: Request, run: Callable[[Scope, Ending], Response]) -> Response:
+def handle(
+    core: Core, request: Request, run: Callable[[Scope, RequestLifecycle], Response]
+) -> Response:
     """Answer a request by a function and end it whenever that raises."""
     scope = core.scope(request, "caller")
-    ending = Ending(core, scope)
+    lifecycle = RequestLifecycle(core, scope)
     try:
-        return run(scope, ending)
+        return run(scope, lifecycle)
     except BrassdrumError as error:
-        ending.failed(error)
+        lifecycle.failed(error)
         raise
     except BaseException:
-        ending.failed(BrassdrumError("The daemon failed to handle the request."))
+        lifecycle.failed(BrassdrumError("The daemon failed to handle the request."))
         raise
--- a/src/brassdrum/daemon/generation.py
+++ b/src/brassdrum/daemon/generation.py
@@ -12,9 +12,9 @@
 from brassdrum.daemon.content_guard import ContentGuard
 from brassdrum.daemon.core import Core, Scope, content_of
 from brassdrum.daemon.dispatcher import Placement
-from brassdrum.daemon.engine_run import EngineRun, RunTimes, StreamIdentity
-from brassdrum.daemon.finishing import Ending, handle
-from brassdrum.daemon.relay import RelayedStream, StreamEnd
+from brassdrum.daemon.engine_run import EngineRun, RunTimeouts, StreamIdentity
+from brassdrum.daemon.finishing import RequestLifecycle, handle
+from brassdrum.daemon.relay import RelayedStream, StreamListener
 from brassdrum.daemon.streaming import DONE, SSE, StreamBody, error_chunk
 from brassdrum.endpoints.engine import EngineRequest
 from brassdrum.endpoints.openai import ChatRequest, CompletionRequest, parse_chat, parse_completion
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Generation:
+class GenerationRequest:
     """Hold a parsed request; the body itself goes to the engine unchanged."""
 
     body: bytes
@@ -78,44 +78,44 @@
 
     def _handle(self, request: Request, *, chat: bool) -> Response:
         return handle(
-            self._core, request, lambda scope, ending: self._run(scope, ending, chat=chat)
+            self._core, request, lambda scope, lifecycle: self._run(scope, lifecycle, chat=chat)
         )
 
-    def _run(self, scope: Scope, ending: Ending, *, chat: bool) -> Response:
+    def _run(self, scope: Scope, lifecycle: RequestLifecycle, *, chat: bool) -> Response:
         body = scope.request.body()
         content = content_of(scope, body)
         self._core.guard.check(content)
         with scope.trace.hop("admission"):
             generation = self._parse(scope, body, chat=chat)
             work = self._admit(scope, generation)
-            ending.admitted(work)
+            lifecycle.admitted(work)
         ticket = claim(self._core, scope, body)
         if isinstance(ticket, OutcomeRecord):
-            ending.succeeded(None)
+            lifecycle.succeeded(None)
             return replay(ticket)
-        ending.ticket = ticket
+        lifecycle.ticket = ticket
         repeatable = generation.model in scope.contract.repeatable.models and scope.may_repeat
-        ending.repeatable = repeatable
+        lifecycle.repeatable = repeatable
         larger = generation.tokens > self._core.dispatcher.fleet.largest_memory(generation.model)
         attempts = Attempts(
             self._core,
             scope,
             content,
             repeatable=repeatable,
-            place=ending.place_group if larger else None,
+            place=lifecycle.place_group if larger else None,
         )
         if generation.stream:
             return attempts.run(
                 work,
-                lambda placement: self._streamed(scope, generation, placement, ending, content),
+                lambda placement: self._streamed(scope, generation, placement, lifecycle, content),
             )
         answer = attempts.run(
-            work, lambda placement: self._whole(scope, generation, placement, ending)
+            work, lambda placement: self._whole(scope, generation, placement, lifecycle)
         )
         self._core.guard.served(content)
         return answer
 
-    def _parse(self, scope: Scope, body: bytes, *, chat: bool) -> Generation:
+    def _parse(self, scope: Scope, body: bytes, *, chat: bool) -> GenerationRequest:
         content: ChatRequest | CompletionRequest
         content = parse_chat(body) if chat else parse_completion(body)
         if content.model not in scope.contract.models:
@@ -124,7 +124,7 @@
         if estimate is None or content.model not in scope.view.models_by_name:
             raise UnknownModelError(f"The fleet has no model {content.model!r}.")
         text = content.prompt_text()
-        return Generation(
+        return GenerationRequest(
             body=body,
             path=scope.request.path,
             model=content.model,
@@ -136,7 +136,7 @@
             blocks=tuple(block_hashes(text)),
         )
 
-    def _admit(self, scope: Scope, generation: Generation) -> Work:
+    def _admit(self, scope: Scope, generation: GenerationRequest) -> Work:
         limits = scope.contract.limits
         if generation.prompt_tokens > limits.longest_prompt:
             raise PromptTooLongError(
@@ -182,27 +182,31 @@
     def _streamed(
         self,
         scope: Scope,
-        generation: Generation,
+        generation: GenerationRequest,
         placement: Placement,
-        ending: Ending,
+        lifecycle: RequestLifecycle,
         content: str,
     ) -> Response:
-        run, ticket = self._open(scope, generation, placement, ending)
+        run, ticket = self._open(scope, generation, placement, lifecycle)
         first = self._first(scope, run, placement, generation)
         headers = {
             "Brassdrum-Request-Id": scope.request_id,
             "Brassdrum-Resume-Token": self._core.resume_tokens.sign(ticket),
             "Cache-Control": "no-store",
         }
-        end = GenerationEnd(generation, placement, ending, self._core.guard, content)
+        end = GenerationListener(generation, placement, lifecycle, self._core.guard, content)
         stream = RelayedStream(run, end, error_chunk)
         body = StreamBody(scope.request, self._core.relay, stream, end, first)
         return Response(200, body, SSE, headers)
 
     def _whole(
-        self, scope: Scope, generation: Generation, placement: Placement, ending: Ending
+        self,
+        scope: Scope,
+        generation: GenerationRequest,
+        placement: Placement,
+        lifecycle: RequestLifecycle,
     ) -> Response:
-        run, _ = self._open(scope, generation, placement, ending)
+        run, _ = self._open(scope, generation, placement, lifecycle)
         builder = AnswerBuilder(generation.model, chat=generation.chat)
         events = self._first(scope, run, placement, generation)
         usage = None
@@ -210,25 +214,25 @@
             while events:
                 for event in events:
                     builder.add(event.data)
-                    usage = Usage.in_event(event.data) or usage
+                    usage = Usage.from_event(event.data) or usage
                 events = run.next_events()
         finally:
             run.close()
         response = json_response(builder.content(), Brassdrum_Request_Id=scope.request_id)
-        ending.answered(placement, generation.characters, usage)
-        ending.ticket.finish(200, response.content_type, b"".join(response.chunks))
-        ending.succeeded(usage)
+        lifecycle.answered(placement, generation.characters, usage)
+        lifecycle.ticket.finish(200, response.content_type, b"".join(response.chunks))
+        lifecycle.succeeded(usage)
         return response
 
     def _first(
-        self, scope: Scope, run: EngineRun, placement: Placement, generation: Generation
+        self, scope: Scope, run: EngineRun, placement: Placement, generation: GenerationRequest
     ) -> list[CheckedEvent]:
         clock = self._core.clock
         started = clock.monotonic()
         with scope.trace.hop("first token", endpoint=placement.state.endpoint.name):
             first = run.start()
         now = clock.monotonic()
-        self._core.dispatcher.first_token(placement)
+        self._core.dispatcher.record_first_token(placement)
         if placement.idle_at_start:
             estimate = self._core.dispatcher.fleet.estimates_by_model[generation.model]
             estimate.learn_prefill(placement.own.prefill_tokens, now - started)
@@ -240,7 +244,11 @@
         return first
 
     def _open(
-        self, scope: Scope, generation: Generation, placement: Placement, ending: Ending
+        self,
+        scope: Scope,
+        generation: GenerationRequest,
+        placement: Placement,
+        lifecycle: RequestLifecycle,
     ) -> tuple[EngineRun, ResumeTicket]:
         core = self._core
         endpoint = placement.state.endpoint.name
@@ -255,7 +263,7 @@
             priority=_priority(placement.work),
             seconds=max(0.05, scope.deadline - now),
             traceparent=scope.trace.traceparent(),
-            reservation=None if ending.group is None else ending.group.id,
+            reservation=None if lifecycle.group is None else lifecycle.group.id,
         )
         estimate = core.dispatcher.fleet.estimates_by_model[generation.model]
         expected = estimate.prefill_seconds(generation.prompt_tokens)
@@ -266,7 +274,7 @@
             clock=core.clock,
             watch=core.watch,
             cancels=core.cancels,
-            times=RunTimes(
+            times=RunTimeouts(
                 deadline=scope.deadline,
                 first_event_by=now + _FIRST_EVENT_SECONDS + _FIRST_EVENT_FACTOR * expected,
                 idle_seconds=core.settings.idle_timeout_seconds,
@@ -290,14 +298,14 @@
         observe(self._core.metrics.dropped_events.add, 1, {"verdict": verdict.value})
 
 
-class GenerationEnd(StreamEnd):
+class GenerationListener(StreamListener):
     """Count what a stream used, keep a small answer for its key and end the request."""
 
     def __init__(
         self,
-        generation: Generation,
+        generation: GenerationRequest,
         placement: Placement,
-        ending: Ending,
+        lifecycle: RequestLifecycle,
         guard: ContentGuard,
         content: str,
     ) -> None:
@@ -305,15 +313,15 @@
         self._content = content
         self._generation = generation
         self._placement = placement
-        self._ending = ending
+        self._lifecycle = lifecycle
         self._usage: Usage | None = None
         self._kept: list[bytes] = []
         self._kept_bytes = 0
 
     def delivered(self, event: CheckedEvent, chunk: bytes) -> None:
         """Look for the engine's count and keep the chunk while the answer is small."""
-        self._usage = Usage.in_event(event.data) or self._usage
-        if self._ending.ticket.claimer is None or self._kept_bytes > _LARGEST_REPLAY:
+        self._usage = Usage.from_event(event.data) or self._usage
+        if self._lifecycle.ticket.claimer is None or self._kept_bytes > _LARGEST_REPLAY:
             return
         self._kept_bytes += len(chunk)
         self._kept.append(chunk)
@@ -324,8 +332,8 @@
         self._release()
         whole = self._kept_bytes <= _LARGEST_REPLAY
         body = b"".join([*self._kept, DONE]) if whole else None
-        self._ending.ticket.finish(200, SSE, body)
-        self._ending.succeeded(self._usage)
+        self._lifecycle.ticket.finish(200, SSE, body)
+        self._lifecycle.succeeded(self._usage)
 
     def failed(self, error: BrassdrumError) -> None:
         """End a request whose answer broke off."""
@@ -337,15 +345,15 @@
             )
         error.ran = Ran.MAYBE
         self._release()
-        self._ending.failed(error)
+        self._lifecycle.failed(error)
 
     def interrupted(self) -> None:
         """End a request whose caller went away."""
         self._release()
-        self._ending.interrupted()
+        self._lifecycle.interrupted()
 
     def _release(self) -> None:
-        self._ending.answered(self._placement, self._generation.characters, self._usage)
+        self._lifecycle.answered(self._placement, self._generation.characters, self._usage)
 
 
 def _priority(work: Work) -> int:
--- a/src/brassdrum/daemon/groups.py
+++ b/src/brassdrum/daemon/groups.py
@@ -67,7 +67,7 @@
                 raise CallerDisconnectedError("The caller closed its connection in the queue.")
             reservation = self._try(work, keep_until=work.start_by if now >= aged_at else now)
             if reservation is not None:
-                return self._dispatcher.adopt(work, reservation.plan.lead), reservation
+                return self._dispatcher.place_reserved(work, reservation.plan.lead), reservation
             self._clock.sleep(random.uniform(0.0, _LONGEST_PAUSE))
 
     def release(self, reservation: GroupReservation) -> None:
--- a/src/brassdrum/daemon/main.py
+++ b/src/brassdrum/daemon/main.py
@@ -13,7 +13,7 @@
 from brassdrum.contracts.checkpoints import CheckpointWriter
 from brassdrum.contracts.records import CLAIM_SHARDS
 from brassdrum.contracts.view import FleetView
-from brassdrum.daemon.cancels import Cancels
+from brassdrum.daemon.cancels import CancelQueue
 from brassdrum.daemon.content_guard import ContentGuard
 from brassdrum.daemon.control import ControlState
 from brassdrum.daemon.core import Core
@@ -240,7 +240,7 @@
         loops.every("watch", self._watch_pause, self.core.watch.step)
         loops.every("groups", self.core.groups.renew_pause, self.core.groups.renew)
         loops.every("cancels", lambda: 0.0, self.core.cancels.step)
-        loops.every("tick", self._tick_pause, self._dispatcher.pump)
+        loops.every("tick", self._tick_pause, self._dispatcher.place_queued)
         loops.every("duty", lambda: settings.lease_seconds / 10, self._duty.step)
         loops.every("checkpoint", lambda: settings.lease_seconds / 5, self._checkpoints.step)
         _logger.info("daemon started", extra={"http": self.url, "peer": self.peer_address})
@@ -288,7 +288,7 @@
             claims=self._claims,
             resume_tokens=ResumeTokens(settings.resume_keys),
             watch=Watch(self._clock),
-            cancels=Cancels(self._clock),
+            cancels=CancelQueue(self._clock),
             relay=Relay(self._clock),
             groups=Groups(self._dispatcher, self._clock, settings.name),
             explanations=Explanations(self._clock),
--- a/src/brassdrum/daemon/relay.py
+++ b/src/brassdrum/daemon/relay.py
@@ -18,7 +18,7 @@
 from brassdrum.outcomes.stream import CheckedEvent
 from brassdrum.wsgi_stream import StreamWriter
 
-__all__ = ["DONE", "Relay", "RelayedStream", "StreamEnd"]
+__all__ = ["DONE", "Relay", "RelayedStream", "StreamListener"]
 
 _logger = logging.getLogger(__name__)
 _READ_BYTES = 65536
@@ -29,7 +29,7 @@
 DONE = b"data: [DONE]\n\n"
 
 
-class StreamEnd:
+class StreamListener:
     """Be told of a stream's events and its end; the default does nothing."""
 
     def delivered(self, event: CheckedEvent, chunk: bytes) -> None:
@@ -54,7 +54,7 @@
     """Join a run, the caller's writer and who is told of the end."""
 
     def __init__(
-        self, run: EngineRun, end: StreamEnd, error_chunk: Callable[[BrassdrumError], bytes]
+        self, run: EngineRun, end: StreamListener, error_chunk: Callable[[BrassdrumError], bytes]
     ) -> None:
         self.run = run
         self.writer: StreamWriter | None = None
@@ -215,7 +215,7 @@
         events = stream.run.take_over()
         if events:
             self._deliver(stream, events)
-        if stream.run.whole or stream.run.broken:
+        if stream.run.complete or stream.run.broken:
             self._settle(stream)
             return
         self._watch_engine(stream)
@@ -230,14 +230,14 @@
         events = stream.run.feed(data)
         if events:
             self._deliver(stream, events)
-        if stream.run.whole or stream.run.broken:
+        if stream.run.complete or stream.run.broken:
             self._unwatch(stream.run.socket)
             self._settle(stream)
 
     @staticmethod
     def _aborted(stream: RelayedStream) -> None:
         # While a caller takes nothing, its engine is not read and its end would not be seen.
-        if stream.writer is not None and stream.writer.backlog and not stream.run.ended:
+        if stream.writer is not None and stream.writer.backlog and not stream.run.closed:
             raise ConnectionResetError("the caller took too long to read")
 
     def _caller_readable(self, stream: RelayedStream) -> None:
@@ -257,7 +257,7 @@
             return
         if stream.writer.backlog == 0:
             self._watch_caller(stream)
-            if not stream.run.ended:
+            if not stream.run.closed:
                 self._watch_engine(stream)
 
     def _deliver(self, stream: RelayedStream, events: list[CheckedEvent]) -> None:
@@ -269,7 +269,7 @@
             self._unwatch(stream.run.socket)
 
     def _settle(self, stream: RelayedStream) -> None:
-        if not stream.run.whole:
+        if not stream.run.complete:
             self._executor.submit(self._recover, stream)
             return
         stream.finish()
--- a/src/brassdrum/daemon/resuming.py
+++ b/src/brassdrum/daemon/resuming.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 
 from brassdrum.daemon.core import Core, Scope
-from brassdrum.daemon.engine_run import EngineRun, RunTimes, StreamIdentity
-from brassdrum.daemon.finishing import Ending, handle
-from brassdrum.daemon.relay import RelayedStream, StreamEnd
+from brassdrum.daemon.engine_run import EngineRun, RunTimeouts, StreamIdentity
+from brassdrum.daemon.finishing import RequestLifecycle, handle
+from brassdrum.daemon.relay import RelayedStream, StreamListener
 from brassdrum.daemon.streaming import SSE, StreamBody, error_chunk
 from brassdrum.endpoints.engine import EngineClient, EngineConnection
 from brassdrum.errors import (
@@ -34,7 +34,7 @@
         """Return the stream from the event after ``Last-Event-ID`` on."""
         return handle(self._core, request, self._run)
 
-    def _run(self, scope: Scope, ending: Ending) -> Response:
+    def _run(self, scope: Scope, lifecycle: RequestLifecycle) -> Response:
         token = scope.request.header("Brassdrum-Resume-Token")
         if token is None:
             raise InvalidRequestError("The header Brassdrum-Resume-Token is missing.")
@@ -53,7 +53,7 @@
             raise ResumeRefusedError("The stream is no longer held.", ran=Ran.MAYBE) from error
         self._core.explanations.add(scope.request_id, "resumed", f"{ticket.request} from {start}")
         headers = {"Brassdrum-Request-Id": ticket.request, "Brassdrum-Resume-Token": token}
-        end = _ResumeEnd(ending)
+        end = _ResumeListener(lifecycle)
         stream = RelayedStream(run, end, error_chunk)
         body = StreamBody(scope.request, self._core.relay, stream, end, first)
         return Response(200, body, SSE, headers)
@@ -83,7 +83,7 @@
             clock=core.clock,
             watch=core.watch,
             cancels=core.cancels,
-            times=RunTimes(
+            times=RunTimeouts(
                 deadline=deadline,
                 first_event_by=now + core.settings.idle_timeout_seconds,
                 idle_seconds=core.settings.idle_timeout_seconds,
@@ -103,20 +103,20 @@
     return int(value) + 1
 
 
-class _ResumeEnd(StreamEnd):
+class _ResumeListener(StreamListener):
     """End the request that resumed a stream."""
 
-    def __init__(self, ending: Ending) -> None:
-        self._ending = ending
+    def __init__(self, lifecycle: RequestLifecycle) -> None:
+        self._lifecycle = lifecycle
 
     def finished(self) -> None:
         """End it as answered."""
-        self._ending.succeeded(None)
+        self._lifecycle.succeeded(None)
 
     def failed(self, error: BrassdrumError) -> None:
         """End it as failed."""
-        self._ending.failed(error)
+        self._lifecycle.failed(error)
 
     def interrupted(self) -> None:
         """End it because the caller went away."""
-        self._ending.interrupted()
+        self._lifecycle.interrupted()
--- a/src/brassdrum/daemon/streaming.py
+++ b/src/brassdrum/daemon/streaming.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from brassdrum.daemon.relay import DONE, Relay, RelayedStream, StreamEnd, event_chunk
+from brassdrum.daemon.relay import DONE, Relay, RelayedStream, StreamListener, event_chunk
 from brassdrum.errors import BrassdrumError, Ran
 from brassdrum.outcomes.stream import CheckedEvent
 from brassdrum.wsgi import Request, json_response
@@ -31,7 +31,7 @@
         request: Request,
         relay: Relay,
         stream: RelayedStream,
-        end: StreamEnd,
+        end: StreamListener,
         first: list[CheckedEvent],
     ) -> None:
         self._request = request
