--- a/src/brassdrum/daemon/relay.py
+++ b/src/brassdrum/daemon/relay.py
@@ -1,4 +1,4 @@
-"""Pass the tokens of all open streams on from one thread, however many streams there are."""
+"""Relay the events of all open streams from one selector thread."""
 
 from __future__ import annotations
 
@@ -22,83 +22,86 @@
 
 _logger = logging.getLogger(__name__)
 _READ_BYTES = 65536
-_LARGEST_BACKLOG = 256 * 1024
+_MAX_BACKLOG_BYTES = 256 * 1024
 _RECOVERY_THREADS = 8
-_CLOSING_SECONDS = 30.0
-_SWEEP_SECONDS = 1.0
+_CLOSE_TIMEOUT_SECONDS = 30.0
+_SELECT_TIMEOUT_SECONDS = 1.0
 DONE = b"data: [DONE]\n\n"
 
 
 class StreamListener:
-    """Be told of a stream's events and its end; the default does nothing."""
+    """Receive a stream's events and its end; the default implementation does nothing."""
 
     def delivered(self, event: CheckedEvent, chunk: bytes) -> None:
-        """Note an event that was handed to the caller."""
+        """Handle an event that is being written to the caller."""
 
     def finished(self) -> None:
-        """Note that the answer was whole."""
+        """Handle the end of a complete answer."""
 
     def failed(self, error: BrassdrumError) -> None:
-        """Note that the answer broke off."""
+        """Handle an answer that ended early with an error."""
 
     def interrupted(self) -> None:
-        """Note that the caller went away."""
+        """Handle a caller that disconnected."""
 
 
 def event_chunk(event: CheckedEvent) -> bytes:
-    """Return the bytes of one event for the caller."""
+    """Encode one event as a server-sent event."""
     return b"id: %d\ndata: %b\n\n" % (event.index, event.data)
 
 
 class RelayedStream:
-    """Join a run, the caller's writer and who is told of the end."""
+    """Connect an engine run to the caller's writer and a listener."""
 
     def __init__(
-        self, run: EngineRun, end: StreamListener, error_chunk: Callable[[BrassdrumError], bytes]
+        self,
+        run: EngineRun,
+        listener: StreamListener,
+        error_chunk: Callable[[BrassdrumError], bytes],
     ) -> None:
         self.run = run
         self.writer: StreamWriter | None = None
-        self._end = end
+        self._listener = listener
         self._error_chunk = error_chunk
-        self._told = False
+        self._closed = False
 
     def attach(self, writer: StreamWriter) -> None:
-        """Set where the events go."""
+        """Set the writer that sends events to the caller."""
         self.writer = writer
 
     def deliver(self, events: list[CheckedEvent]) -> None:
-        """Write events to the caller, or raise ``OSError`` when it left."""
+        """Write events to the caller; raise ``OSError`` if it disconnected."""
         assert self.writer is not None
         chunks = []
         for event in events:
             chunk = event_chunk(event)
-            self._end.delivered(event, chunk)
+            self._listener.delivered(event, chunk)
             chunks.append(chunk)
         self.writer.write(b"".join(chunks))
 
     def finish(self) -> None:
-        """End a whole answer, or raise ``OSError``."""
-        if self._tell(self._end.finished):
-            self._close(DONE)
+        """End a complete answer; raise ``OSError`` if the caller disconnected."""
+        if self._close_once(self._listener.finished):
+            self._write_last(DONE)
 
     def fail(self, error: BrassdrumError) -> None:
-        """End an answer that broke off, or raise ``OSError``."""
-        if self._tell(lambda: self._end.failed(error)):
-            self._close(self._error_chunk(error))
+        """End a failed answer with an error event; raise ``OSError`` if the caller disconnected."""
+        if self._close_once(lambda: self._listener.failed(error)):
+            self._write_last(self._error_chunk(error))
 
     def interrupt(self) -> None:
-        """End a stream whose caller went away."""
-        self._tell(self._end.interrupted)
+        """End a stream whose caller disconnected."""
+        self._close_once(self._listener.interrupted)
 
-    def _tell(self, tell: Callable[[], None]) -> bool:
-        if self._told:
+    def _close_once(self, notify: Callable[[], None]) -> bool:
+        if self._closed:
             return False
-        self._told = True
+        self._closed = True
         self.run.close()
-        tell()
+        notify()
         return True
 
-    def _close(self, chunk: bytes) -> None:
+    def _write_last(self, chunk: bytes) -> None:
         assert self.writer is not None
         self.writer.write(chunk)
         self.writer.end()
@@ -110,16 +113,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Watched:
+class _Registration:
     stream: RelayedStream
     side: _Side
 
 
 class Relay:
-    """Wait on the sockets of all streams, engines' and callers'; recover broken ones on threads.
+    """Multiplex the engine and caller sockets of all streams; recover broken ones on threads.
 
-    A caller that reads slowly holds up its own stream only: its engine is not read until it has
-    taken what waits.
+    A slow caller delays its own stream only: its engine is not read until its backlog is sent.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -128,31 +130,31 @@
         self._wake_read, self._wake_write = socket.socketpair()
         self._wake_read.setblocking(False)
         self._selector.register(self._wake_read, selectors.EVENT_READ, None)
-        self._closing: deque[tuple[float, RelayedStream]] = deque()
-        self._commands: deque[Callable[[], None]] = deque()
+        self._pending_closes: deque[tuple[float, RelayedStream]] = deque()
+        self._callbacks: deque[Callable[[], None]] = deque()
         self._executor = ThreadPoolExecutor(_RECOVERY_THREADS, thread_name_prefix="recover")
         self._stopping = False
         self._thread = threading.Thread(target=self._run, name="relay", daemon=True)
 
     def start(self) -> None:
-        """Begin to relay."""
+        """Start the selector thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stop relaying."""
+        """Stop the selector thread and drop all streams."""
         self._stopping = True
         self._wake()
         self._executor.shutdown(wait=False, cancel_futures=True)
 
     def add(self, stream: RelayedStream) -> None:
-        """Take over a stream whose writer is attached."""
+        """Add a stream whose writer is attached."""
         if self._stopping:
-            self._drop(stream)
+            self._drop_stream(stream)
             return
-        self._command(lambda: self._guard(stream, self._adopt))
+        self._call_soon(lambda: self._call_or_drop(stream, self._register_stream))
 
-    def _command(self, command: Callable[[], None]) -> None:
-        self._commands.append(command)
+    def _call_soon(self, callback: Callable[[], None]) -> None:
+        self._callbacks.append(callback)
         self._wake()
 
     def _wake(self) -> None:
@@ -163,62 +165,64 @@
 
     def _run(self) -> None:
         while not self._stopping:
-            self._sweep()
-            for key, mask in self._selector.select(_SWEEP_SECONDS):
+            self._close_expired()
+            for key, mask in self._selector.select(_SELECT_TIMEOUT_SECONDS):
                 if key.data is None:
-                    self._run_commands()
+                    self._run_callbacks()
                     continue
-                watched: _Watched = key.data
-                if watched.side is _Side.ENGINE:
-                    self._guard(watched.stream, self._engine_readable)
+                registration: _Registration = key.data
+                if registration.side is _Side.ENGINE:
+                    self._call_or_drop(registration.stream, self._engine_readable)
                     continue
                 if mask & selectors.EVENT_READ:
-                    self._guard(watched.stream, self._caller_readable)
+                    self._call_or_drop(registration.stream, self._caller_readable)
                 if mask & selectors.EVENT_WRITE:
-                    self._guard(watched.stream, self._caller_writable)
-        self._drop_all()
+                    self._call_or_drop(registration.stream, self._caller_writable)
+        self._drop_all_streams()
 
-    def _drop_all(self) -> None:
-        """Close every caller's connection, as the end of the process would."""
-        self._run_commands()
+    def _drop_all_streams(self) -> None:
+        """Close every caller's connection, as the exit of the process would."""
+        self._run_callbacks()
         for key in list((self._selector.get_map() or {}).values()):
             if key.data is not None and key.data.side is _Side.CALLER:
-                self._drop(key.data.stream)
+                self._drop_stream(key.data.stream)
 
-    def _run_commands(self) -> None:
+    def _run_callbacks(self) -> None:
         try:
             self._wake_read.recv(_READ_BYTES)
         except BlockingIOError:
             pass
-        while self._commands:
-            self._commands.popleft()()
+        while self._callbacks:
+            self._callbacks.popleft()()
 
-    def _guard(self, stream: RelayedStream, step: Callable[[RelayedStream], None]) -> None:
+    def _call_or_drop(self, stream: RelayedStream, step: Callable[[RelayedStream], None]) -> None:
         try:
             step(stream)
         except OSError:
-            self._drop(stream)
+            self._drop_stream(stream)
         except Exception:
             _logger.exception("stream failed")
-            self._drop(stream)
+            self._drop_stream(stream)
 
-    def _adopt(self, stream: RelayedStream) -> None:
+    def _register_stream(self, stream: RelayedStream) -> None:
         assert stream.writer is not None
-        stream.run.on_aborted = lambda: self._command(lambda: self._guard(stream, self._aborted))
+        stream.run.on_aborted = lambda: self._call_soon(
+            lambda: self._call_or_drop(stream, self._drop_if_blocked)
+        )
         stream.writer.flush()
         self._selector.register(
-            stream.writer.socket, self._caller_mask(stream), _Watched(stream, _Side.CALLER)
+            stream.writer.socket, self._caller_events(stream), _Registration(stream, _Side.CALLER)
         )
-        self._begin(stream)
+        self._start_reading(stream)
 
-    def _begin(self, stream: RelayedStream) -> None:
+    def _start_reading(self, stream: RelayedStream) -> None:
         events = stream.run.take_over()
         if events:
             self._deliver(stream, events)
         if stream.run.complete or stream.run.broken:
-            self._settle(stream)
+            self._finish_or_recover(stream)
             return
-        self._watch_engine(stream)
+        self._register_engine(stream)
 
     def _engine_readable(self, stream: RelayedStream) -> None:
         try:
@@ -231,12 +235,12 @@
         if events:
             self._deliver(stream, events)
         if stream.run.complete or stream.run.broken:
-            self._unwatch(stream.run.socket)
-            self._settle(stream)
+            self._unregister(stream.run.socket)
+            self._finish_or_recover(stream)
 
     @staticmethod
-    def _aborted(stream: RelayedStream) -> None:
-        # While a caller takes nothing, its engine is not read and its end would not be seen.
+    def _drop_if_blocked(stream: RelayedStream) -> None:
+        # The engine of a blocked caller is not read, so its abort would go unnoticed.
         if stream.writer is not None and stream.writer.backlog and not stream.run.closed:
             raise ConnectionResetError("the caller took too long to read")
 
@@ -256,19 +260,19 @@
             self._close_caller(stream)
             return
         if stream.writer.backlog == 0:
-            self._watch_caller(stream)
+            self._update_caller_events(stream)
             if not stream.run.closed:
-                self._watch_engine(stream)
+                self._register_engine(stream)
 
     def _deliver(self, stream: RelayedStream, events: list[CheckedEvent]) -> None:
         assert stream.writer is not None
         stream.deliver(events)
         if stream.writer.backlog:
-            self._watch_caller(stream)
-        if stream.writer.backlog > _LARGEST_BACKLOG:
-            self._unwatch(stream.run.socket)
+            self._update_caller_events(stream)
+        if stream.writer.backlog > _MAX_BACKLOG_BYTES:
+            self._unregister(stream.run.socket)
 
-    def _settle(self, stream: RelayedStream) -> None:
+    def _finish_or_recover(self, stream: RelayedStream) -> None:
         if not stream.run.complete:
             self._executor.submit(self._recover, stream)
             return
@@ -280,64 +284,64 @@
         if stream.writer.ended:
             self._close_caller(stream)
             return
-        self._watch_caller(stream)
-        self._closing.append((self._clock.monotonic() + _CLOSING_SECONDS, stream))
+        self._update_caller_events(stream)
+        self._pending_closes.append((self._clock.monotonic() + _CLOSE_TIMEOUT_SECONDS, stream))
 
-    def _sweep(self) -> None:
-        """Close connections whose callers do not take the end of their answers."""
+    def _close_expired(self) -> None:
+        """Close connections whose callers did not read the end of the answer in time."""
         now = self._clock.monotonic()
-        while self._closing and self._closing[0][0] <= now:
-            self._close_caller(self._closing.popleft()[1])
+        while self._pending_closes and self._pending_closes[0][0] <= now:
+            self._close_caller(self._pending_closes.popleft()[1])
 
     def _recover(self, stream: RelayedStream) -> None:
-        """Resume at the engine; runs on a thread of its own, because it blocks."""
+        """Resume the stream at its engine; blocks, so it runs on the executor."""
         try:
             stream.run.recover()
         except BrassdrumError as error:
-            self._command(lambda error=error: self._fail(stream, error))
+            self._call_soon(lambda error=error: self._fail_stream(stream, error))
             return
         except Exception:
             _logger.exception("stream could not be resumed")
             failure = EndpointFailedError("The stream could not be resumed.")
-            self._command(lambda: self._fail(stream, failure))
+            self._call_soon(lambda: self._fail_stream(stream, failure))
             return
-        self._command(lambda: self._guard(stream, self._begin))
+        self._call_soon(lambda: self._call_or_drop(stream, self._start_reading))
 
-    def _fail(self, stream: RelayedStream, error: BrassdrumError) -> None:
+    def _fail_stream(self, stream: RelayedStream, error: BrassdrumError) -> None:
         def step(failed: RelayedStream) -> None:
             failed.fail(error)
             self._finish_caller(failed)
 
-        self._guard(stream, step)
+        self._call_or_drop(stream, step)
 
-    def _drop(self, stream: RelayedStream) -> None:
-        self._unwatch(stream.run.socket)
+    def _drop_stream(self, stream: RelayedStream) -> None:
+        self._unregister(stream.run.socket)
         stream.interrupt()
         self._close_caller(stream)
 
     def _close_caller(self, stream: RelayedStream) -> None:
         assert stream.writer is not None
-        self._unwatch(stream.writer.socket)
+        self._unregister(stream.writer.socket)
         stream.writer.close()
 
-    def _caller_mask(self, stream: RelayedStream) -> int:
+    def _caller_events(self, stream: RelayedStream) -> int:
         assert stream.writer is not None
         if stream.writer.backlog:
             return selectors.EVENT_READ | selectors.EVENT_WRITE
         return selectors.EVENT_READ
 
-    def _watch_caller(self, stream: RelayedStream) -> None:
+    def _update_caller_events(self, stream: RelayedStream) -> None:
         assert stream.writer is not None
         self._selector.modify(
-            stream.writer.socket, self._caller_mask(stream), _Watched(stream, _Side.CALLER)
+            stream.writer.socket, self._caller_events(stream), _Registration(stream, _Side.CALLER)
         )
 
-    def _watch_engine(self, stream: RelayedStream) -> None:
+    def _register_engine(self, stream: RelayedStream) -> None:
         sock = stream.run.socket
         if sock.fileno() >= 0 and sock.fileno() not in self._selector.get_map():
-            self._selector.register(sock, selectors.EVENT_READ, _Watched(stream, _Side.ENGINE))
+            self._selector.register(sock, selectors.EVENT_READ, _Registration(stream, _Side.ENGINE))
 
-    def _unwatch(self, sock: socket.socket) -> None:
+    def _unregister(self, sock: socket.socket) -> None:
         try:
             self._selector.unregister(sock)
         except (KeyError, ValueError):
