--- a/src/brassdrum/daemon/streaming.py
+++ b/src/brassdrum/daemon/streaming.py
@@ -1,4 +1,4 @@
-"""Begin a streamed answer in its request's thread and leave the rest to the relay."""
+"""Start a streamed answer on the request's thread and hand it over to the relay."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 def error_chunk(error: BrassdrumError) -> bytes:
-    """Return the event that tells a caller why its stream breaks off."""
+    """Return the event that reports why a stream ended early."""
     error.ran = Ran.MAYBE
     return b"data: " + b"".join(json_response(error.body()).chunks) + b"\n\n"
 
 
 class StreamBody:
-    """Give the server the first events, then detach the response and hand it to the relay.
+    """Yield the first events to the server, then detach the response and hand it to the relay.
 
-    A class and not a generator: a caller that goes away before the first read must still be
-    cleaned up after, and closing a generator that never ran does nothing.
+    This is a class because closing a generator that never started runs no cleanup, which is needed
+    when the caller disconnects before the first read.
     """
 
     def __init__(
@@ -31,33 +31,33 @@
         request: Request,
         relay: Relay,
         stream: RelayedStream,
-        end: StreamListener,
-        first: list[CheckedEvent],
+        listener: StreamListener,
+        first_events: list[CheckedEvent],
     ) -> None:
         self._request = request
         self._relay = relay
         self._stream = stream
-        self._end = end
-        self._first = first
+        self._listener = listener
+        self._first_events = first_events
         self._handed_over = False
 
     def __iter__(self) -> StreamBody:
         return self
 
     def __next__(self) -> bytes:
-        if self._first:
+        if self._first_events:
             return self._first_chunk()
         if not self._handed_over:
             self._handed_over = True
-            self._request.detach(self._detached)
+            self._request.detach(self._on_detached)
         raise StopIteration
 
     def close(self) -> None:
-        """Release the stream unless the relay has it now."""
+        """Release the stream unless it was handed over to the relay."""
         if not self._handed_over:
             self._stream.interrupt()
 
-    def _detached(self, writer: StreamWriter | None) -> None:
+    def _on_detached(self, writer: StreamWriter | None) -> None:
         if writer is None:
             self._stream.interrupt()
             return
@@ -66,9 +66,9 @@
 
     def _first_chunk(self) -> bytes:
         chunks = []
-        for event in self._first:
+        for event in self._first_events:
             chunk = event_chunk(event)
-            self._end.delivered(event, chunk)
+            self._listener.delivered(event, chunk)
             chunks.append(chunk)
-        self._first = []
+        self._first_events = []
         return b"".join(chunks)
