--- a/src/brassdrum/daemon/answers.py
+++ b/src/brassdrum/daemon/answers.py
@@ -1,4 +1,4 @@
-"""Build whole answers from a stream's events."""
+"""Build non-streaming answers from a stream's events."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Hold an engine's count of tokens."""
+    """Hold the token counts reported by an engine."""
 
     prompt_tokens: int
     completion_tokens: int
 
     @property
     def total_tokens(self) -> int:
-        """Return all tokens."""
+        """Return the sum of prompt and completion tokens."""
         return self.prompt_tokens + self.completion_tokens
 
     @classmethod
     def from_event(cls, data: bytes) -> Usage | None:
-        """Return the usage that an event carries, or None."""
+        """Return the usage reported in an event, or None."""
         if b'"usage"' not in data:
             return None
         try:
@@ -43,7 +43,7 @@
 
 
 class AnswerBuilder:
-    """Join the pieces of a streamed answer into the one that a caller asked for whole."""
+    """Accumulate a stream's events into one non-streaming answer."""
 
     def __init__(self, model: str, *, chat: bool) -> None:
         self._model = model
@@ -54,23 +54,29 @@
         self._choices_by_index: dict[int, _Choice] = {}
 
     def add(self, data: bytes) -> None:
-        """Add one event, or raise ``EndpointFailedError`` when it is no JSON."""
+        """Add one event; raise ``EndpointFailedError`` if it is not valid JSON."""
         try:
             content = json.loads(data)
         except ValueError as error:
-            raise EndpointFailedError("The endpoint sent an event that is no JSON.") from error
+            raise EndpointFailedError(
+                "The endpoint sent an event that is not valid JSON."
+            ) from error
         self._id = content.get("id", self._id)
         self._created = content.get("created", self._created)
         self._usage = content.get("usage") or self._usage
-        for piece in content.get("choices", []):
-            choice = self._choices_by_index.setdefault(piece.get("index", 0), _Choice())
-            text = piece.get("delta", {}).get("content") if self._chat else piece.get("text")
+        for choice_delta in content.get("choices", []):
+            choice = self._choices_by_index.setdefault(choice_delta.get("index", 0), _Choice())
+            text = (
+                choice_delta.get("delta", {}).get("content")
+                if self._chat
+                else choice_delta.get("text")
+            )
             if text:
                 choice.texts.append(text)
-            choice.finish_reason = piece.get("finish_reason") or choice.finish_reason
+            choice.finish_reason = choice_delta.get("finish_reason") or choice.finish_reason
 
-    def content(self) -> dict[str, object]:
-        """Return the whole answer."""
+    def build(self) -> dict[str, object]:
+        """Return the complete answer."""
         answer: dict[str, object] = {
             "id": self._id,
             "object": "chat.completion" if self._chat else "text_completion",
--- a/src/brassdrum/daemon/generation.py
+++ b/src/brassdrum/daemon/generation.py
@@ -1,4 +1,4 @@
-"""Handle completions and chat completions."""
+"""Handle completion and chat completion requests."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 __all__ = ["GenerationHandler"]
 
 _logger = logging.getLogger(__name__)
-_FIRST_EVENT_SECONDS = 15.0
-_FIRST_EVENT_FACTOR = 5.0
-_LARGEST_REPLAY = 32 * 1024
+_FIRST_EVENT_BASE_SECONDS = 15.0
+_FIRST_EVENT_PREFILL_FACTOR = 5.0
+_MAX_REPLAY_BYTES = 32 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class GenerationRequest:
-    """Hold a parsed request; the body itself goes to the engine unchanged."""
+    """Hold a parsed request; the body is forwarded to the engine unchanged."""
 
     body: bytes
     path: str
@@ -58,12 +58,12 @@
 
     @property
     def tokens(self) -> int:
-        """Return the most tokens that the request may use."""
+        """Return the maximum number of tokens that the request may use."""
         return self.prompt_tokens + self.answer_tokens
 
 
 class GenerationHandler:
-    """Admit, place and answer generation requests."""
+    """Admit, dispatch and answer generation requests."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
@@ -96,13 +96,15 @@
         lifecycle.ticket = ticket
         repeatable = generation.model in scope.contract.repeatable.models and scope.may_repeat
         lifecycle.repeatable = repeatable
-        larger = generation.tokens > self._core.dispatcher.fleet.largest_memory(generation.model)
+        needs_group = generation.tokens > self._core.dispatcher.fleet.largest_memory(
+            generation.model
+        )
         attempts = Attempts(
             self._core,
             scope,
             content,
             repeatable=repeatable,
-            place=lifecycle.place_group if larger else None,
+            place=lifecycle.place_group if needs_group else None,
         )
         if generation.stream:
             return attempts.run(
@@ -110,7 +112,7 @@
                 lambda placement: self._streamed(scope, generation, placement, lifecycle, content),
             )
         answer = attempts.run(
-            work, lambda placement: self._whole(scope, generation, placement, lifecycle)
+            work, lambda placement: self._buffered(scope, generation, placement, lifecycle)
         )
         self._core.guard.served(content)
         return answer
@@ -150,7 +152,9 @@
             )
         context = scope.view.models_by_name[generation.model].context_tokens
         if generation.tokens > context:
-            raise PromptTooLongError(f"Prompt and answer exceed the model's {context} tokens.")
+            raise PromptTooLongError(
+                f"Prompt and answer exceed the model's context of {context} tokens."
+            )
         fleet = self._core.dispatcher.fleet
         states = fleet.states_by_target.get(generation.model, [])
         if not can_ever_fit(generation.tokens, states):
@@ -187,28 +191,28 @@
         lifecycle: RequestLifecycle,
         content: str,
     ) -> Response:
-        run, ticket = self._open(scope, generation, placement, lifecycle)
-        first = self._first(scope, run, placement, generation)
+        run, ticket = self._open_run(scope, generation, placement, lifecycle)
+        first = self._wait_first_events(scope, run, placement, generation)
         headers = {
             "Brassdrum-Request-Id": scope.request_id,
             "Brassdrum-Resume-Token": self._core.resume_tokens.sign(ticket),
             "Cache-Control": "no-store",
         }
-        end = GenerationListener(generation, placement, lifecycle, self._core.guard, content)
-        stream = RelayedStream(run, end, error_chunk)
-        body = StreamBody(scope.request, self._core.relay, stream, end, first)
+        listener = GenerationListener(generation, placement, lifecycle, self._core.guard, content)
+        stream = RelayedStream(run, listener, error_chunk)
+        body = StreamBody(scope.request, self._core.relay, stream, listener, first)
         return Response(200, body, SSE, headers)
 
-    def _whole(
+    def _buffered(
         self,
         scope: Scope,
         generation: GenerationRequest,
         placement: Placement,
         lifecycle: RequestLifecycle,
     ) -> Response:
-        run, _ = self._open(scope, generation, placement, lifecycle)
+        run, _ = self._open_run(scope, generation, placement, lifecycle)
         builder = AnswerBuilder(generation.model, chat=generation.chat)
-        events = self._first(scope, run, placement, generation)
+        events = self._wait_first_events(scope, run, placement, generation)
         usage = None
         try:
             while events:
@@ -218,13 +222,13 @@
                 events = run.next_events()
         finally:
             run.close()
-        response = json_response(builder.content(), Brassdrum_Request_Id=scope.request_id)
+        response = json_response(builder.build(), Brassdrum_Request_Id=scope.request_id)
         lifecycle.answered(placement, generation.characters, usage)
         lifecycle.ticket.finish(200, response.content_type, b"".join(response.chunks))
         lifecycle.succeeded(usage)
         return response
 
-    def _first(
+    def _wait_first_events(
         self, scope: Scope, run: EngineRun, placement: Placement, generation: GenerationRequest
     ) -> list[CheckedEvent]:
         clock = self._core.clock
@@ -243,7 +247,7 @@
         )
         return first
 
-    def _open(
+    def _open_run(
         self,
         scope: Scope,
         generation: GenerationRequest,
@@ -276,11 +280,13 @@
             cancels=core.cancels,
             times=RunTimeouts(
                 deadline=scope.deadline,
-                first_event_by=now + _FIRST_EVENT_SECONDS + _FIRST_EVENT_FACTOR * expected,
+                first_event_by=now
+                + _FIRST_EVENT_BASE_SECONDS
+                + _FIRST_EVENT_PREFILL_FACTOR * expected,
                 idle_seconds=core.settings.idle_timeout_seconds,
             ),
             disconnected=scope.request.disconnected,
-            on_dropped=self._dropped,
+            on_dropped=self._record_dropped_event,
         )
         ticket = ResumeTicket(
             organisation=scope.organisation,
@@ -293,13 +299,13 @@
         )
         return run, ticket
 
-    def _dropped(self, verdict: EventVerdict) -> None:
+    def _record_dropped_event(self, verdict: EventVerdict) -> None:
         _logger.warning("engine event dropped", extra={"verdict": verdict.value})
         observe(self._core.metrics.dropped_events.add, 1, {"verdict": verdict.value})
 
 
 class GenerationListener(StreamListener):
-    """Count what a stream used, keep a small answer for its key and end the request."""
+    """Record a stream's usage, keep a small answer for replay and complete the request."""
 
     def __init__(
         self,
@@ -315,28 +321,28 @@
         self._placement = placement
         self._lifecycle = lifecycle
         self._usage: Usage | None = None
-        self._kept: list[bytes] = []
-        self._kept_bytes = 0
+        self._replay_chunks: list[bytes] = []
+        self._replay_bytes = 0
 
     def delivered(self, event: CheckedEvent, chunk: bytes) -> None:
-        """Look for the engine's count and keep the chunk while the answer is small."""
+        """Record the usage and keep the chunk while the answer is small enough to replay."""
         self._usage = Usage.from_event(event.data) or self._usage
-        if self._lifecycle.ticket.claimer is None or self._kept_bytes > _LARGEST_REPLAY:
+        if self._lifecycle.ticket.claimer is None or self._replay_bytes > _MAX_REPLAY_BYTES:
             return
-        self._kept_bytes += len(chunk)
-        self._kept.append(chunk)
+        self._replay_bytes += len(chunk)
+        self._replay_chunks.append(chunk)
 
     def finished(self) -> None:
-        """End a request that was answered whole."""
+        """Complete a request whose answer is complete."""
         self._guard.served(self._content)
         self._release()
-        whole = self._kept_bytes <= _LARGEST_REPLAY
-        body = b"".join([*self._kept, DONE]) if whole else None
+        replayable = self._replay_bytes <= _MAX_REPLAY_BYTES
+        body = b"".join([*self._replay_chunks, DONE]) if replayable else None
         self._lifecycle.ticket.finish(200, SSE, body)
         self._lifecycle.succeeded(self._usage)
 
     def failed(self, error: BrassdrumError) -> None:
-        """End a request whose answer broke off."""
+        """Complete a request whose answer ended early with an error."""
         if isinstance(error, EndpointEndedError):
             self._guard.ended(
                 self._content,
@@ -348,7 +354,7 @@
         self._lifecycle.failed(error)
 
     def interrupted(self) -> None:
-        """End a request whose caller went away."""
+        """Complete a request whose caller disconnected."""
         self._release()
         self._lifecycle.interrupted()
 
@@ -357,6 +363,6 @@
 
 
 def _priority(work: Work) -> int:
-    """Return the engine's priority: shorter and more urgent first, aged long work in between."""
+    """Return the engine's priority; lower values, for shorter and more urgent work, run first."""
     bands = {"short": 0, "medium": 3, "long": 6}
     return bands[work.band.value] + work.urgency.rank
