--- a/src/brassdrum/daemon/engine_run.py
+++ b/src/brassdrum/daemon/engine_run.py
@@ -1,4 +1,4 @@
-"""Read one stream from its engine, whole and in order, through broken connections."""
+"""Read one stream from its engine, complete and in order, across reconnections."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 __all__ = ["EngineRun", "RunTimeouts", "StreamIdentity"]
 
-_RESUMES_WITHOUT_PROGRESS = 10
-_RESUME_PAUSE_SECONDS = 0.05
-_LONGEST_RESUME_PAUSE_SECONDS = 1.0
+_MAX_RESUMES_WITHOUT_PROGRESS = 10
+_RESUME_DELAY_SECONDS = 0.05
+_MAX_RESUME_DELAY_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class StreamIdentity:
-    """Name a stream and how to read it again."""
+    """Identify a stream and what is needed to resume it."""
 
     stream: str
     model: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunTimeouts:
-    """Bound a run: monotonic times of its end and first event, seconds between events."""
+    """Hold a run's deadline and first-event limit in monotonic time, and its idle timeout."""
 
     deadline: float
     first_event_by: float
@@ -40,10 +40,10 @@
 
 
 class EngineRun:
-    """Yield a stream's events once each; resume it at its engine when its connection breaks.
+    """Return each event of a stream once; resume at the engine when the connection breaks.
 
-    ``start`` and ``next_events`` block. After ``take_over`` the socket is watched elsewhere, which
-    feeds what arrives and calls ``recover``, which blocks, when the connection ends early.
+    ``start``, ``next_events`` and ``recover`` block. After ``take_over`` the caller polls the
+    socket, passes received data to ``feed`` and calls ``recover`` when the connection ends early.
     """
 
     def __init__(
@@ -73,18 +73,18 @@
         self._watched = Watched(times.deadline, times.first_event_by, disconnected, self._abort)
         self.on_aborted: Callable[[], None] | None = None
         self._closed = False
-        self._may_run = False
+        self._may_be_running = False
         self._taken_over = False
-        self._resumes = 0
+        self._resumes_without_progress = 0
 
     @property
     def complete(self) -> bool:
-        """Return whether the answer arrived whole."""
+        """Return whether the complete answer was received."""
         return self._assembler.complete
 
     @property
     def broken(self) -> bool:
-        """Return whether the connection can give nothing more that is of use."""
+        """Return whether the connection can deliver no further valid events."""
         return self._assembler.broken
 
     @property
@@ -94,7 +94,7 @@
 
     @property
     def socket(self) -> socket.socket:
-        """Return the socket of the present connection."""
+        """Return the socket of the current connection."""
         assert self._connection is not None
         return self._connection.socket
 
@@ -102,18 +102,18 @@
         """Connect and wait for the first events.
 
         Raises ``NoEndpointError``, ``EndpointFailedError``, ``DeadlineExceededError`` or
-        ``CallerDisconnectedError``; the engine is told to stop then, until it has answered.
+        ``CallerDisconnectedError``; the stream is then cancelled if it may be running.
         """
         self._watch.add(self._watched)
         try:
-            self._connection = self._first_connection()
+            self._connection = self._open_connection()
             return self.next_events()
         except BaseException:
             self.close()
             raise
 
     def next_events(self) -> list[CheckedEvent]:
-        """Wait for more events; none when the answer is whole. Raises as ``start`` does."""
+        """Wait for more events; none when the answer is complete. Raises as ``start`` does."""
         assert self._connection is not None
         try:
             while not self.complete:
@@ -128,38 +128,40 @@
         return []
 
     def feed(self, data: bytes) -> list[CheckedEvent]:
-        """Return the events that became complete; no data means that the connection ended."""
+        """Return the events that ``data`` completes; empty data means that the connection ended."""
         if not data:
             self._assembler.broken = not self.complete
             return []
         events = self._assembler.feed(data)
         if events:
-            self._resumes = 0
+            self._resumes_without_progress = 0
             self._watched.silent_after = self._clock.monotonic() + self._times.idle_seconds
         return events
 
     def take_over(self) -> list[CheckedEvent]:
-        """Make the socket non-blocking and return events that had arrived already."""
+        """Make the socket non-blocking and return the events already received."""
         assert self._connection is not None
         self._taken_over = True
         data = self._connection.take_over()
         return self.feed(data) if data else []
 
     def recover(self) -> None:
-        """Connect again at the first missing event. Raises as ``start`` does."""
+        """Reconnect and resume at the first missing event. Raises as ``start`` does."""
         assert self._connection is not None
         self._connection.close()
-        self._raise_abort()
-        if self._resumes >= _RESUMES_WITHOUT_PROGRESS:
-            raise EndpointFailedError(f"Endpoint {self._engine.name} breaks every connection.")
-        if self._resumes:
-            pause = _RESUME_PAUSE_SECONDS * 2**self._resumes
-            self._clock.sleep(min(_LONGEST_RESUME_PAUSE_SECONDS, pause))
-        self._resumes += 1
+        self._raise_if_aborted()
+        if self._resumes_without_progress >= _MAX_RESUMES_WITHOUT_PROGRESS:
+            raise EndpointFailedError(
+                f"Endpoint {self._engine.name} closed every connection early."
+            )
+        if self._resumes_without_progress:
+            delay = _RESUME_DELAY_SECONDS * 2**self._resumes_without_progress
+            self._clock.sleep(min(_MAX_RESUME_DELAY_SECONDS, delay))
+        self._resumes_without_progress += 1
         self._connection = self._engine.resume(
             self._identity.stream,
             self._assembler.next_index,
-            self._note_connected,
+            self._set_connected,
             model=self._identity.model,
             chat=self._identity.chat,
             seconds=max(0.05, self._times.deadline - self._clock.monotonic()),
@@ -167,24 +169,24 @@
         self._assembler.restart()
 
     def close(self) -> None:
-        """End the exchange; cancel the stream unless it arrived whole."""
+        """Close the exchange; cancel the stream unless it was completely received."""
         if self._closed:
             return
         self._closed = True
         self._watch.remove(self._watched)
         if self._connection is not None:
             self._connection.close()
-        if self._may_run and not self.complete:
+        if self._may_be_running and not self.complete:
             self._cancels.add(self._engine, self._identity.stream)
 
-    def _first_connection(self) -> EngineConnection:
+    def _open_connection(self) -> EngineConnection:
         try:
-            connection = self._connect(self._note_connected)
+            connection = self._connect(self._set_connected)
         except EndpointFailedError:
-            self._may_run = True
-            self._raise_abort()
+            self._may_be_running = True
+            self._raise_if_aborted()
             raise
-        self._may_run = True
+        self._may_be_running = True
         return connection
 
     def _read(self) -> bytes:
@@ -194,16 +196,18 @@
         except ExchangeFailedError:
             return b""
 
-    def _raise_abort(self) -> None:
+    def _raise_if_aborted(self) -> None:
         reason = self._watched.reason
         if reason is AbortReason.DEADLINE or self._clock.monotonic() >= self._times.deadline:
-            raise DeadlineExceededError("The request's time passed before its answer was whole.")
+            raise DeadlineExceededError(
+                "The request's deadline passed before its answer was complete."
+            )
         if reason is AbortReason.DISCONNECTED:
             raise CallerDisconnectedError("The caller closed its connection.")
         if reason is AbortReason.SILENT:
             raise EndpointFailedError(f"Endpoint {self._engine.name} stopped answering.")
 
-    def _note_connected(self, connected: Connected) -> None:
+    def _set_connected(self, connected: Connected) -> None:
         self._connected = connected
 
     def _abort(self) -> None:
