--- a/src/brassdrum/daemon/attempts.py
+++ b/src/brassdrum/daemon/attempts.py
@@ -1,4 +1,4 @@
-"""Try a request at endpoints until it is answered or may not be tried again."""
+"""Send a request to endpoints until it is answered or may not be retried."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Attempts:
-    """Place work, send it, and decide after a failure."""
+    """Place work, send it and decide on retries."""
 
     def __init__(
         self,
@@ -37,35 +37,35 @@
         repeatable: bool,
         place: Callable[[Work], Placement] | None = None,
     ) -> None:
-        self._place_elsewhere = place
+        self._place_override = place
         self._core = core
         self._scope = scope
         self._content = content
         self._repeatable = repeatable
         self._attempt = 0
         self._may_have_run = False
-        self._own_ends: set[int] = set()
+        self._own_crash_ids: set[int] = set()
 
     def run(self, work: Work, send: Callable[[Placement], T]) -> T:
-        """Return what ``send`` returns at the first endpoint where it succeeds.
+        """Return the result of ``send`` for the first placement where it succeeds.
 
-        ``send`` keeps the placement when it succeeds; after a failure it is released here.
+        On success ``send`` is responsible for the placement; after a failure it is released here.
         """
         self._core.retry_budget.record_request()
         while True:
             self._attempt += 1
-            placement = self._place_or_tell(work)
+            placement = self._check_and_place(work)
             try:
                 answer = send(placement)
             except BrassdrumError as error:
                 self._core.dispatcher.release(placement)
-                self._judge_endpoint(placement, error)
+                self._record_endpoint_result(placement, error)
                 if isinstance(error, EndpointEndedError):
-                    end = self._core.guard.ended(
+                    crash_id = self._core.guard.ended(
                         self._content, placement.state.endpoint.name, placement.own.dispatched
                     )
-                    self._own_ends.add(end)
-                work = self._again(work, placement, error)
+                    self._own_crash_ids.add(crash_id)
+                work = self._prepare_retry(work, placement, error)
                 continue
             except BaseException:
                 self._core.dispatcher.release(placement)
@@ -74,17 +74,17 @@
             self._core.guard.answered(placement.state.endpoint.name)
             return answer
 
-    def _place_or_tell(self, work: Work) -> Placement:
+    def _check_and_place(self, work: Work) -> Placement:
         try:
-            self._core.guard.check(self._content, self._own_ends)
-            return self._place(self._alone(work))
+            self._core.guard.check(self._content, self._own_crash_ids)
+            return self._place(self._avoid_busy_endpoints(work))
         except BrassdrumError as error:
-            self._note_ran(error)
+            self._merge_ran(error)
             raise
 
-    def _alone(self, work: Work) -> Work:
-        """Keep a request that may end its endpoint away from the streams of others."""
-        if not self._core.guard.suspect(self._content, self._own_ends):
+    def _avoid_busy_endpoints(self, work: Work) -> Work:
+        """Avoid endpoints with other streams for a request suspected of crashing endpoints."""
+        if not self._core.guard.suspect(self._content, self._own_crash_ids):
             return work
         now = self._core.clock.monotonic()
         with self._core.dispatcher.lock:
@@ -96,8 +96,8 @@
             return work
         return replace(work, avoid=work.avoid | busy)
 
-    def _note_ran(self, error: BrassdrumError) -> None:
-        """Let an error tell of all attempts: a later one that did not run hides no earlier one."""
+    def _merge_ran(self, error: BrassdrumError) -> None:
+        """Set ``error.ran`` to cover earlier attempts that may have run."""
         if error.ran is not Ran.NO:
             self._may_have_run = True
         if self._may_have_run and error.ran is Ran.NO:
@@ -106,8 +106,8 @@
     def _place(self, work: Work) -> Placement:
         scope = self._scope
         with scope.trace.hop("queue", band=work.band.value):
-            if self._place_elsewhere is not None:
-                placement = self._place_elsewhere(work)
+            if self._place_override is not None:
+                placement = self._place_override(work)
             else:
                 placement = self._core.dispatcher.place(work, scope.request.disconnected)
         name = placement.state.endpoint.name
@@ -123,7 +123,7 @@
         )
         return placement
 
-    def _judge_endpoint(self, placement: Placement, error: BrassdrumError) -> None:
+    def _record_endpoint_result(self, placement: Placement, error: BrassdrumError) -> None:
         now = self._core.clock.monotonic()
         if isinstance(
             error, EndpointFailedError | DeadlineExceededError | EndpointUnreachableError
@@ -132,9 +132,9 @@
             return
         placement.state.breaker.record_success()
 
-    def _again(self, work: Work, placement: Placement, error: BrassdrumError) -> Work:
+    def _prepare_retry(self, work: Work, placement: Placement, error: BrassdrumError) -> Work:
         scope = self._scope
-        self._note_ran(error)
+        self._merge_ran(error)
         if not isinstance(error, EndpointFailedError | NoEndpointError):
             raise error
         now = self._core.clock.monotonic()
