--- a/src/brassdrum/daemon/resuming.py
+++ b/src/brassdrum/daemon/resuming.py
@@ -1,4 +1,4 @@
-"""Go on with a stream that another daemon, or an earlier connection, began."""
+"""Resume a stream that was started by another daemon or on an earlier connection."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self._core = core
 
     def handle(self, request: Request) -> Response:
-        """Return the stream from the event after ``Last-Event-ID`` on."""
+        """Return the stream, starting after ``Last-Event-ID``."""
         return handle(self._core, request, self._run)
 
     def _run(self, scope: Scope, lifecycle: RequestLifecycle) -> Response:
@@ -43,19 +43,21 @@
         engine = self._core.dispatcher.fleet.engines_by_name.get(ticket.endpoint)
         if engine is None:
             raise ResumeRefusedError(
-                "The endpoint of the stream has left the fleet.", ran=Ran.MAYBE
+                "The stream's endpoint is no longer in the fleet.", ran=Ran.MAYBE
             )
         start = _next_index(scope.request)
         run = self._open(scope, ticket, engine, start)
         try:
             first = run.start()
         except EndpointFailedError as error:
-            raise ResumeRefusedError("The stream is no longer held.", ran=Ran.MAYBE) from error
+            raise ResumeRefusedError(
+                "The endpoint no longer holds the stream.", ran=Ran.MAYBE
+            ) from error
         self._core.explanations.add(scope.request_id, "resumed", f"{ticket.request} from {start}")
         headers = {"Brassdrum-Request-Id": ticket.request, "Brassdrum-Resume-Token": token}
-        end = _ResumeListener(lifecycle)
-        stream = RelayedStream(run, end, error_chunk)
-        body = StreamBody(scope.request, self._core.relay, stream, end, first)
+        listener = _ResumeListener(lifecycle)
+        stream = RelayedStream(run, listener, error_chunk)
+        body = StreamBody(scope.request, self._core.relay, stream, listener, first)
         return Response(200, body, SSE, headers)
 
     def _open(
@@ -99,24 +101,24 @@
     if value is None:
         return 0
     if not value.isdecimal() or len(value) > 9:
-        raise InvalidRequestError("The header Last-Event-ID is no index of an event.")
+        raise InvalidRequestError("The header Last-Event-ID is not an event index.")
     return int(value) + 1
 
 
 class _ResumeListener(StreamListener):
-    """End the request that resumed a stream."""
+    """Complete the request that resumed a stream."""
 
     def __init__(self, lifecycle: RequestLifecycle) -> None:
         self._lifecycle = lifecycle
 
     def finished(self) -> None:
-        """End it as answered."""
+        """Complete the request as answered."""
         self._lifecycle.succeeded(None)
 
     def failed(self, error: BrassdrumError) -> None:
-        """End it as failed."""
+        """Complete the request as failed."""
         self._lifecycle.failed(error)
 
     def interrupted(self) -> None:
-        """End it because the caller went away."""
+        """Complete the request of a caller that disconnected."""
         self._lifecycle.interrupted()
