--- a/src/brassdrum/daemon/calls.py
+++ b/src/brassdrum/daemon/calls.py
@@ -1,4 +1,4 @@
-"""Handle calls of plain services."""
+"""Handle calls to services other than model endpoints."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 __all__ = ["ServiceHandler", "is_repeatable"]
 
-_PASSED_HEADERS = ("Content-Type", "Accept", "Effect-Id")
-_CALL_TOKENS = 1
+_FORWARDED_HEADERS = ("Content-Type", "Accept", "Effect-Id")
+_TOKENS_PER_CALL = 1
 
 
 def is_repeatable(service: Service, method: str, path: str) -> bool:
-    """Return whether a call is declared repeatable; what is not declared is not.
+    """Return whether a call is declared repeatable; an undeclared call is not.
 
-    ``{name}`` in a declared path matches one part of the path.
+    ``{name}`` in a declared path matches one path segment.
     """
     for call in service.calls:
         if call.method != method:
@@ -37,7 +37,7 @@
 
 
 class ServiceHandler:
-    """Admit, place and answer calls under ``/services/NAME/PATH``."""
+    """Admit, dispatch and answer calls to ``/services/NAME/PATH``."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
@@ -54,7 +54,7 @@
         path = "/" + scope.request.parameters["path"]
         with scope.trace.hop("admission"):
             service = self._service(scope, name)
-            self._core.limits.acquire(scope.organisation, _CALL_TOKENS)
+            self._core.limits.acquire(scope.organisation, _TOKENS_PER_CALL)
             work = self._work(scope, name)
             lifecycle.admitted(work)
         ticket = claim(self._core, scope, body)
@@ -91,7 +91,7 @@
             id=f"{scope.request_id}.1",
             organisation=scope.organisation,
             target=service_target(name),
-            prompt_tokens=_CALL_TOKENS,
+            prompt_tokens=_TOKENS_PER_CALL,
             answer_tokens=0,
             urgency=scope.contract.urgency,
             share=scope.contract.share,
@@ -103,7 +103,7 @@
     def _send(self, scope: Scope, placement: Placement, path: str, body: bytes) -> ServiceAnswer:
         client = self._core.dispatcher.fleet.services_by_name[placement.state.endpoint.name]
         headers = {}
-        for name in _PASSED_HEADERS:
+        for name in _FORWARDED_HEADERS:
             value = scope.request.header(name)
             if value is not None:
                 headers[name] = value
