--- a/src/brassdrum/daemon/finishing.py
+++ b/src/brassdrum/daemon/finishing.py
@@ -1,4 +1,4 @@
-"""End a request once: give back its limits, settle its claim, tell logs, metrics and traces."""
+"""Complete each request once: release its limits, settle its claim and record the result."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 
 class RequestLifecycle:
-    """Hold what has to be undone or told when a request ends, however it ends."""
+    """Hold what must be released or recorded when a request ends, whatever its result."""
 
     def __init__(self, core: Core, scope: Scope) -> None:
         self._core = core
         self._scope = scope
         self._work: Work | None = None
-        self._ended = False
+        self._completed = False
         self.ticket = ClaimTicket()
         self.group: GroupReservation | None = None
         self.repeatable = False
         core.active.enter()
 
     def admitted(self, work: Work) -> None:
-        """Note that limits were taken for the request."""
+        """Record that the request acquired its limits."""
         self._work = work
         self._core.dispatcher.fleet.note_arrival(work)
         self._core.explanations.add(
@@ -46,7 +46,7 @@
         )
 
     def answered(self, placement: Placement, characters: int, usage: Usage | None) -> None:
-        """Give the place at the endpoint back and learn from the engine's count."""
+        """Release the placement and update the estimates from the reported usage."""
         cost = None
         if usage is not None:
             cost = usage.prompt_tokens + _DECODE_WEIGHT * usage.completion_tokens
@@ -56,7 +56,7 @@
         self._core.dispatcher.release(placement, cost)
 
     def place_group(self, work: Work) -> Placement:
-        """Reserve a group of engines for a prompt that no single one can hold."""
+        """Reserve a group of engines for a request that no single engine can hold."""
         self._release_group()
         placement, self.group = self._core.groups.place(work, self._scope.request.disconnected)
         return placement
@@ -67,37 +67,37 @@
             self._core.groups.release(group)
 
     def succeeded(self, usage: Usage | None) -> None:
-        """End a request that was answered."""
+        """Complete a request that was answered."""
         if usage is not None:
             self._count_tokens(usage)
-        self._end("ok", usage)
+        self._complete("ok", usage)
 
     def failed(self, error: BrassdrumError) -> None:
-        """End a request that was refused or failed."""
+        """Complete a request that was refused or failed."""
         self.ticket.failed(error, repeatable=self.repeatable)
         self._core.explanations.add(
             self._scope.request_id, "ended", f"{error.code} ran={error.ran.value}: {error.message}"
         )
         self._core.dispatcher.record_refusal(self._scope.organisation)
-        self._end(error.code, None)
+        self._complete(error.code, None)
 
     def interrupted(self) -> None:
-        """End a request whose caller went away in the middle of its answer."""
+        """Complete a request whose caller disconnected during its answer."""
         self.failed(CallerDisconnectedError("The caller closed its connection."))
 
-    def _end(self, result: str, usage: Usage | None) -> None:
-        if self._ended:
+    def _complete(self, result: str, usage: Usage | None) -> None:
+        if self._completed:
             return
-        self._ended = True
+        self._completed = True
         self._release_group()
         if self._work is not None:
             estimated = self._work.kv_tokens
-            real = estimated if usage is None and result == "ok" else _total(usage)
-            self._core.limits.release(self._scope.organisation, estimated, real)
-        observe(self._tell, result)
+            actual = estimated if usage is None and result == "ok" else _total_tokens(usage)
+            self._core.limits.release(self._scope.organisation, estimated, actual)
+        observe(self._report, result)
         self._core.active.leave()
 
-    def _tell(self, result: str) -> None:
+    def _report(self, result: str) -> None:
         scope = self._scope
         target = "" if self._work is None else self._work.target
         self._core.metrics.requests.add(
@@ -131,14 +131,14 @@
         )
 
 
-def _total(usage: Usage | None) -> int:
+def _total_tokens(usage: Usage | None) -> int:
     return 0 if usage is None else usage.total_tokens
 
 
 def handle(
     core: Core, request: Request, run: Callable[[Scope, RequestLifecycle], Response]
 ) -> Response:
-    """Answer a request by a function and end it whenever that raises."""
+    """Answer a request with ``run``; complete it as failed if ``run`` raises."""
     scope = core.scope(request, "caller")
     lifecycle = RequestLifecycle(core, scope)
     try:
