--- a/src/brassdrum/daemon/claiming.py
+++ b/src/brassdrum/daemon/claiming.py
@@ -1,4 +1,4 @@
-"""Run a request under its idempotency key, at most once where it may not be repeated."""
+"""Claim idempotency keys, so that a request that may not be repeated runs at most once."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 @dataclass(slots=True)
 class ClaimTicket:
-    """Hold a won claim until its request ended; without a key it does nothing."""
+    """Hold a claim until its request completes; does nothing for a request without a key."""
 
     claimer: Claimer | None = None
     claim_id: str = ""
     settled: bool = False
 
     def finish(self, status: int, content_type: str, body: bytes | None) -> None:
-        """Keep the answer for later callers with the key."""
+        """Store the answer for later requests with the same key."""
         if self.claimer is None or self.settled:
             return
         self.settled = True
         self.claimer.finish(self.claim_id, status, content_type, body)
 
     def failed(self, error: BrassdrumError, *, repeatable: bool) -> None:
-        """Free the key when nothing ran or a repeat does no harm; else it stays unknown."""
+        """Abandon the claim if the request did not run or is repeatable; else keep it claimed."""
         if self.claimer is None or self.settled:
             return
         if error.ran is Ran.NO or repeatable:
@@ -38,7 +38,7 @@
 
 
 def claim(core: Core, scope: Scope, body: bytes) -> ClaimTicket | OutcomeRecord:
-    """Return a ticket to run the request, or the outcome of the first one with its key."""
+    """Return a ticket to run the request, or the outcome of an earlier request with its key."""
     if scope.idempotency_key is None:
         return ClaimTicket()
     key = ClaimKey(scope.organisation, scope.idempotency_key)
@@ -54,7 +54,7 @@
 
 
 def replay(outcome: OutcomeRecord) -> Response:
-    """Return the first request's answer to a later one with its key."""
+    """Return the stored answer of an earlier request with the same key."""
     body = (outcome.body or "").encode()
     return Response(
         outcome.status,
