--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -58,7 +58,7 @@
     assert [model.id for model in stock_client(context).models.list()] == [MODEL]
 
 
-def _completion(**fields):
+def completion_body(**fields):
     content = {"model": MODEL, "prompt": "blue", "max_tokens": 4, "stream": True} | fields
     return json.dumps(content).encode()
 
@@ -66,14 +66,14 @@
 MISTAKES = {
     "malformed JSON": {"body": b'{"model": '},
     "a list instead of an object": {"body": b"[1, 2]"},
-    "a prompt that is a number": {"body": _completion(prompt=7)},
+    "a prompt that is a number": {"body": completion_body(prompt=7)},
     "no API key": {"headers": {"Authorization": ""}},
     "an unknown API key": {"headers": {"Authorization": "Bearer bd_sample_wrong"}},
-    "an unknown model": {"body": _completion(model="other")},
+    "an unknown model": {"body": completion_body(model="other")},
     "a timeout that is no number": {"headers": {"Brassdrum-Timeout": "soon"}},
     "a timeout that is infinite": {"headers": {"Brassdrum-Timeout": "inf"}},
-    "a prompt no engine can hold": {"body": _completion(prompt="x" * 3_900_000)},
-    "an answer over the contract": {"body": _completion(max_tokens=100_000)},
+    "a prompt no engine can hold": {"body": completion_body(prompt="x" * 3_900_000)},
+    "an answer over the contract": {"body": completion_body(max_tokens=100_000)},
     "a forged resume token": {
         "method": "GET",
         "path": "/v1/resume",
@@ -103,7 +103,7 @@
         streamed = caller(context).complete(MODEL, "blue", 2)
         headers["Brassdrum-Resume-Token"] = streamed.headers["Brassdrum-Resume-Token"]
     method = case.get("method", "POST")
-    body = case.get("body", _completion()) if method == "POST" else None
+    body = case.get("body", completion_body()) if method == "POST" else None
     path = case.get("path", "/v1/completions")
     context.answer = caller(context).send(method, path, body, headers)
 
@@ -162,7 +162,7 @@
 @when("a caller closes its connection after the first token of {tokens:d}")
 def step_leave(context, tokens):
     parts = urlsplit(context.site.daemons[0].url)
-    body = _completion(max_tokens=tokens)
+    body = completion_body(max_tokens=tokens)
     head = (
         f"POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {context.secret}\r\n"
         f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -183,7 +183,7 @@
 def step_pages(context):
     trace = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
     answer = caller(context).send(
-        "POST", "/v1/completions", _completion(), {"traceparent": trace, "X-Request-Id": "r-1"}
+        "POST", "/v1/completions", completion_body(), {"traceparent": trace, "X-Request-Id": "r-1"}
     )
     assert answer.whole and answer.headers["Brassdrum-Request-Id"] == "r-1"
     assert caller(context).send("GET", "/-/ready", None).status == 200
--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -15,7 +15,7 @@
 from brassdrum.daemon.main import Daemon
 from brassdrum.logservice.publish import Publisher, read_control
 from brassdrum.standins.site import MODEL
-from features.steps.caller_steps import _completion
+from features.steps.caller_steps import completion_body
 from features.steps.site_steps import caller, log_of, start_site
 from features.support import eventually
 
@@ -209,7 +209,7 @@
 def step_cli_status(context):
     platform = context.site.platform.url
     daemon = context.site.daemons[0].url
-    caller(context).send("POST", "/v1/completions", _completion(), {"X-Request-Id": "asked"})
+    caller(context).send("POST", "/v1/completions", completion_body(), {"X-Request-Id": "asked"})
     assert "contract/quilters" in run_cli("contracts", "list", "--platform", platform)[1]
     assert '"share": 3.0' in run_cli("contracts", "show", "quilters", "--platform", platform)[1]
     assert "refused" in run_cli("contracts", "history", "--platform", platform)[1]
--- a/features/steps/replacing_steps.py
+++ b/features/steps/replacing_steps.py
@@ -15,8 +15,8 @@
 from brassdrum.errors import PlatformUnavailableError
 from brassdrum.http_pool import ExchangeFailedError
 from brassdrum.standins.site import MODEL
-from features.steps.caller_steps import _completion
-from features.steps.stream_steps import texts, words
+from features.steps.caller_steps import completion_body
+from features.steps.stream_steps import event_texts, expected_texts
 from features.support import Load, eventually
 
 
@@ -62,7 +62,12 @@
     first = Caller(context.processes[0].url, context.secret)
     answer = Answer()
     stream = first.stream(
-        "POST", "/v1/completions", _completion(max_tokens=tokens), None, answer, time.monotonic()
+        "POST",
+        "/v1/completions",
+        completion_body(max_tokens=tokens),
+        None,
+        answer,
+        time.monotonic(),
     )
     for _ in stream:
         if answer.tokens == 5:
@@ -73,7 +78,7 @@
 @then("the stream ends whole and the process ends by itself")
 def step_ended(context):
     assert context.answer.whole
-    assert texts(context.answer.body)[:-1] == words(context.tokens)
+    assert event_texts(context.answer.body)[:-1] == expected_texts(context.tokens)
     assert context.processes[0].process.wait(timeout=30) == 0
 
 
@@ -158,7 +163,7 @@
 def _stream_with_reconnect(context, number):
     caller = Caller(context.processes[0].url, context.secret)
     answer = Answer()
-    body = _completion(max_tokens=400, prompt=f"caller {number}")
+    body = completion_body(max_tokens=400, prompt=f"caller {number}")
     stream = caller.stream("POST", "/v1/completions", body, None, answer, time.monotonic())
     try:
         for _ in stream:
@@ -172,7 +177,7 @@
         "Last-Event-ID": last,
     }
     rest = Caller(context.processes[1].url, context.secret).send("GET", "/v1/resume", None, headers)
-    return rest.whole and texts(part + rest.body)[:-1] == words(400)
+    return rest.whole and event_texts(part + rest.body)[:-1] == expected_texts(400)
 
 
 @when("{count:d} streams run at the first process, which is killed")
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -11,11 +11,11 @@
 from brassdrum.caller import Answer, Caller
 from brassdrum.http_pool import ExchangeFailedError, HttpPool
 from brassdrum.standins.site import MODEL
-from features.steps.caller_steps import _completion
+from features.steps.caller_steps import completion_body
 from features.steps.site_steps import caller
 
 
-def texts(body):
+def event_texts(body):
     """Return the texts of an answer's events in order."""
     found = []
     for line in body.split(b"\n"):
@@ -24,7 +24,7 @@
     return found
 
 
-def words(count):
+def expected_texts(count):
     return [f"w{n} " for n in range(count)]
 
 
@@ -50,9 +50,9 @@
         assert answer.whole, (answer.status, answer.error)
         if answer.headers["Content-Type"] == "application/json":
             text = json.loads(answer.body)["choices"][0]["text"]
-            assert text == "".join(words(context.tokens)), text
+            assert text == "".join(expected_texts(context.tokens)), text
             continue
-        assert texts(answer.body)[:-1] == words(context.tokens), answer.body
+        assert event_texts(answer.body)[:-1] == expected_texts(context.tokens), answer.body
         ids = re.findall(rb"id: (\d+)", answer.body)
         assert [int(number) for number in ids] == list(range(context.tokens + 1))
 
@@ -63,7 +63,7 @@
     answer = Answer()
     first = Caller(context.processes[0].url, context.secret)
     stream = first.stream(
-        "POST", "/v1/completions", _completion(max_tokens=600), None, answer, time.monotonic()
+        "POST", "/v1/completions", completion_body(max_tokens=600), None, answer, time.monotonic()
     )
     try:
         for _ in stream:
@@ -90,7 +90,7 @@
 @then("both parts together are the answer byte for byte")
 def step_bytes(context):
     whole = context.part + context.rest.body
-    assert texts(whole)[:-1] == words(context.tokens)
+    assert event_texts(whole)[:-1] == expected_texts(context.tokens)
     streams = set(re.findall(rb'"id":"([^"]+)"', whole))
     assert len(streams) == 1, streams
     ids = [int(number) for number in re.findall(rb"id: (\d+)\n", whole)]
@@ -122,7 +122,7 @@
 @when("{callers:d} callers ask for whole answers while one engine dies")
 def step_engine_dies(context, callers):
     context.tokens = 200
-    body = _completion(max_tokens=context.tokens, stream=False)
+    body = completion_body(max_tokens=context.tokens, stream=False)
     killer = threading.Timer(0.2, context.site.engines[0].close)
     killer.start()
     with ThreadPoolExecutor(12) as executor:
