--- a/features/callers.feature
+++ b/features/callers.feature
@@ -1,16 +1,16 @@
-Feature: Callers speak the OpenAI-compatible API
+Feature: Callers use the OpenAI-compatible API
 
-  Scenario: A stock client streams and gets the whole answer
+  Scenario: The OpenAI client receives complete answers, streamed or not
     Given a site of 2 daemons and 2 engines
-    When a stock client streams 24 tokens
-    And a stock client asks for 24 tokens in one answer
-    And a stock client chats for 24 tokens
-    Then all three texts are the same and whole
-    And the stock client sees the models of the contract
+    When an OpenAI client streams 24 tokens
+    And an OpenAI client requests 24 tokens without streaming
+    And an OpenAI client requests a chat completion of 24 tokens
+    Then all three texts are equal and complete
+    And the OpenAI client lists the models of the contract
 
-  Scenario Outline: A refused request says why and that it was not run
+  Scenario Outline: The error for an invalid request gives the reason and says that it did not run
     Given a site of 1 daemon and 1 engine
-    When a caller makes the mistake of <mistake>
+    When a caller sends a request with <mistake>
     Then it is refused with <code>, a remedy and ran "no"
     And a good request still succeeds
 
@@ -32,24 +32,24 @@
       | an unknown path              | invalid_request   |
       | a key of 300 characters      | invalid_request   |
 
-  Scenario: A body over the size limit or cut short harms nobody
+  Scenario: An oversized or truncated body does not affect later requests
     Given a site of 1 daemon and 1 engine
-    When a caller sends 20 million bytes
-    And a caller closes its connection in the middle of its body
+    When a caller sends a body of 20 million bytes
+    And a caller closes its connection before its body is complete
     Then a good request still succeeds
 
-  Scenario: A resume token works for its own organisation only
+  Scenario: A resume token is valid for its own organisation only
     Given a site of 1 daemon and 1 engine
     And another organisation "co-op"
     When a caller streams 8 tokens
     And "co-op" tries to resume the stream
     Then it is refused with resume_refused, a remedy and ran "no"
 
-  Scenario: A caller that goes away frees the engine
+  Scenario: A caller that disconnects frees the engine's memory
     Given a site of 1 daemon and 1 engine
     When a caller closes its connection after the first token of 4000
     Then the engine holds no memory
 
-  Scenario: The trace goes on to the engine and the balancer sees readiness
+  Scenario: The routes for load balancers and operators answer
     Given a site of 1 daemon and 1 engine
-    Then the pages for balancer and operators answer
+    Then the readiness, health, metrics, explain and held routes answer
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -1,4 +1,4 @@
-"""Steps of callers."""
+"""Steps for requests to the OpenAI-compatible API."""
 
 import json
 import socket
@@ -13,49 +13,54 @@
 from features.support import eventually
 
 
-def stock_client(context):
+def openai_client(context):
     return openai.OpenAI(
         base_url=f"{context.site.daemons[0].url}/v1", api_key=context.secret, max_retries=0
     )
 
 
-@when("a stock client streams {tokens:d} tokens")
-def step_stock_stream(context, tokens):
-    chunks = stock_client(context).completions.create(
+@when("an OpenAI client streams {tokens:d} tokens")
+def step_client_stream(context, tokens):
+    chunks = openai_client(context).completions.create(
         model=MODEL, prompt="blue linen", max_tokens=tokens, stream=True
     )
-    context.streamed = "".join(chunk.choices[0].text for chunk in chunks)
-    context.expected = "".join(f"w{n} " for n in range(tokens))
+    context.streamed_text = "".join(chunk.choices[0].text for chunk in chunks)
+    context.expected_text = "".join(f"w{n} " for n in range(tokens))
 
 
-@when("a stock client asks for {tokens:d} tokens in one answer")
-def step_stock_whole(context, tokens):
-    answer = stock_client(context).completions.create(
+@when("an OpenAI client requests {tokens:d} tokens without streaming")
+def step_client_completion(context, tokens):
+    answer = openai_client(context).completions.create(
         model=MODEL, prompt="blue linen", max_tokens=tokens
     )
-    context.whole = answer.choices[0].text
+    context.completion_text = answer.choices[0].text
     assert answer.usage.completion_tokens == tokens
 
 
-@when("a stock client chats for {tokens:d} tokens")
-def step_stock_chat(context, tokens):
-    chunks = stock_client(context).chat.completions.create(
+@when("an OpenAI client requests a chat completion of {tokens:d} tokens")
+def step_client_chat(context, tokens):
+    chunks = openai_client(context).chat.completions.create(
         model=MODEL,
         messages=[{"role": "user", "content": [{"type": "text", "text": "blue linen"}]}],
         max_completion_tokens=tokens,
         stream=True,
     )
-    context.chatted = "".join(chunk.choices[0].delta.content or "" for chunk in chunks)
+    context.chat_text = "".join(chunk.choices[0].delta.content or "" for chunk in chunks)
 
 
-@then("all three texts are the same and whole")
+@then("all three texts are equal and complete")
 def step_texts(context):
-    assert context.streamed == context.whole == context.chatted == context.expected
+    assert (
+        context.streamed_text
+        == context.completion_text
+        == context.chat_text
+        == context.expected_text
+    )
 
 
-@then("the stock client sees the models of the contract")
+@then("the OpenAI client lists the models of the contract")
 def step_models(context):
-    assert [model.id for model in stock_client(context).models.list()] == [MODEL]
+    assert [model.id for model in openai_client(context).models.list()] == [MODEL]
 
 
 def completion_body(**fields):
@@ -63,7 +68,7 @@
     return json.dumps(content).encode()
 
 
-MISTAKES = {
+INVALID_REQUESTS = {
     "malformed JSON": {"body": b'{"model": '},
     "a list instead of an object": {"body": b"[1, 2]"},
     "a prompt that is a number": {"body": completion_body(prompt=7)},
@@ -95,9 +100,9 @@
 }
 
 
-@when("a caller makes the mistake of {mistake}")
-def step_mistake(context, mistake):
-    case = MISTAKES[mistake]
+@when("a caller sends a request with {mistake}")
+def step_invalid_request(context, mistake):
+    case = INVALID_REQUESTS[mistake]
     headers = dict(case.get("headers", {}))
     if case.get("token"):
         streamed = caller(context).complete(MODEL, "blue", 2)
@@ -108,7 +113,7 @@
     context.answer = caller(context).send(method, path, body, headers)
 
 
-@when("a caller sends 20 million bytes")
+@when("a caller sends a body of 20 million bytes")
 def step_oversize(context):
     answer = caller(context).send("POST", "/v1/completions", b"x" * 20_000_000)
     assert answer.status in (0, 413), answer
@@ -123,13 +128,13 @@
 
 
 @then("a good request still succeeds")
-def step_good(context):
+def step_valid_request(context):
     answer = caller(context).complete(MODEL, "blue", 4)
     assert answer.whole and answer.tokens == 5, answer
 
 
-@when("a caller closes its connection in the middle of its body")
-def step_cut_body(context):
+@when("a caller closes its connection before its body is complete")
+def step_truncated_body(context):
     parts = urlsplit(context.site.daemons[0].url)
     with socket.create_connection((parts.hostname, parts.port)) as connection:
         head = "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\n"
@@ -137,7 +142,7 @@
 
 
 @given('another organisation "{name}"')
-def step_other(context, name):
+def step_other_organisation(context, name):
     context.other_secret, contract = sample_contract(name, Urgency.STANDARD)
     revision = context.site.publish([contract])
     eventually(
@@ -152,7 +157,7 @@
 
 
 @when('"{name}" tries to resume the stream')
-def step_foreign_resume(context, name):
+def step_resume_by_other_organisation(context, name):
     token = context.first.headers["Brassdrum-Resume-Token"]
     context.answer = caller(context, secret=context.other_secret).send(
         "GET", "/v1/resume", None, {"Brassdrum-Resume-Token": token}
@@ -160,7 +165,7 @@
 
 
 @when("a caller closes its connection after the first token of {tokens:d}")
-def step_leave(context, tokens):
+def step_disconnect(context, tokens):
     parts = urlsplit(context.site.daemons[0].url)
     body = completion_body(max_tokens=tokens)
     head = (
@@ -179,8 +184,8 @@
         eventually(lambda engine=engine: not engine.model.held(), "engine memory freed")
 
 
-@then("the pages for balancer and operators answer")
-def step_pages(context):
+@then("the readiness, health, metrics, explain and held routes answer")
+def step_operator_routes(context):
     trace = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
     answer = caller(context).send(
         "POST", "/v1/completions", completion_body(), {"traceparent": trace, "X-Request-Id": "r-1"}
