--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -1,92 +1,92 @@
-Feature: What may not be repeated runs at most once
+Feature: Calls that may not be repeated run at most once
 
-  Scenario: A hold sent through three daemons at once runs once
+  Scenario: A hold sent through three daemons concurrently runs once
     Given a site of 3 daemons and 1 engine
-    When 30 callers send 10 holds with keys through 3 daemons at once
-    Then each hold ran once and every answer is the first one's
+    When 30 callers send 10 holds with keys through 3 daemons concurrently
+    Then each hold ran once and every answer is that of its run
 
-  Scenario: The second caller gets the first one's answer
+  Scenario: A second call with the same key receives the first answer
     Given a site of 2 daemons and 1 engine
-    When a hold is sent with a key and again through another daemon
-    Then both have the first answer at once and the second is marked as a replay
+    When a hold is sent with a key, then again through another daemon
+    Then both receive the first answer and the second is marked as a replay
 
-  Scenario: An answer lost after the action
+  Scenario: An answer is lost after the call ran
     Given a site of 2 daemons and 1 engine
-    When the service loses every answer
-    And a hold is sent with a key and again through another daemon
-    Then the first caller is told that it may have run
-    And the second caller is told the same and nothing ran twice
+    When the service drops every answer
+    And a hold is sent with a key, then again through another daemon
+    Then the first answer says that the call may have run
+    And the second answer says the same and the call ran once
 
-  Scenario: Without a key a lost answer is not repeated either
+  Scenario: A call without a key is not retried when its answer is lost
     Given a site of 1 daemon and 1 engine
-    When the service loses every answer
+    When the service drops every answer
     And a hold is sent without a key
-    Then the caller is told that it may have run and it ran once
+    Then the answer says that the call may have run, and it ran once
 
-  Scenario: A call that is declared repeatable is tried again
+  Scenario: A call that is declared repeatable is retried
     Given a site of 1 daemon and 1 engine
-    When the service loses a fifth of the answers
-    And 20 lists of lots are read
-    Then all 20 succeed
+    When the service drops a fifth of the answers
+    And the lots are listed 20 times
+    Then all 20 calls succeed
 
-  Scenario: A key used with another body
+  Scenario: A key is reused with another body
     Given a site of 2 daemons and 1 engine
     When a hold is sent with key "k-1" and body "a"
     And a hold is sent with key "k-1" and body "b"
     Then it is refused with idempotency_key_reused, a remedy and ran "no"
 
-  Scenario: A key older than the window
+  Scenario: A key is older than the idempotency window
     Given a site of 1 daemon and 1 engine
-    When a hold is sent with a timed key from last year
+    When a hold is sent with a UUIDv7 key from last year
     Then it is refused with idempotency_key_expired, a remedy and ran "no"
 
-  Scenario: The daemon that claimed dies before the answer
+  Scenario: The daemon that holds the claim is killed before the answer
     Given a site of 1 daemon and 1 engine
     And two daemons in processes of their own
-    When the service answers only after 60 seconds
-    And a hold is sent with a key through the first process, which is killed
-    Then the second process does not run it again and says it may have run
+    When the service delays its answers by 60 seconds
+    And a hold is sent with a key through the first process, which is then killed
+    Then the second process does not run it and answers that it may have run
 
-  Scenario: The daemon that claimed is paused and goes on later
+  Scenario: The daemon that holds claims is paused and continued
     Given a site of 1 daemon and 1 engine
     And two daemons in processes of their own
-    When holds are sent through both processes while the first is paused again and again
+    When holds are sent through both processes while the first is paused repeatedly
     Then no hold ran twice
 
-  Scenario: Appends of claims are lost
+  Scenario: Answers to appends of claims are lost
     Given a site of 2 daemons and 1 engine
     When the log loses the answers to the next 20 appends
-    And 30 callers send 10 holds with keys through 2 daemons at once
-    Then each hold ran once and every answer is the first one's
+    And 30 callers send 10 holds with keys through 2 daemons concurrently
+    Then each hold ran once and every answer is that of its run
 
-  Scenario: The log comes back from a copy that lacks the claim
+  Scenario: The log is restored from a backup that lacks the claim
     Given a site of 2 daemons and 1 engine
-    When the log makes a copy
+    When the log is backed up
     And a hold is sent with key "k-1" and body "a"
-    And the log comes back from its copy
-    And the same hold is sent through the other daemon until it is not told to wait
-    Then it is answered as the first one was, and ran once
-    And a third daemon that starts then answers it as the first one was
+    And the log is restored from the backup
+    And the same hold is retried through the other daemon until it is answered
+    Then its answer equals the first one and it ran once
+    And a third daemon that starts after the restore gives the same answer
 
-  Scenario: While claims are written again a call with a key is refused as not run
+  Scenario: A call with a key is refused as not run while claims are rewritten
     Given a site of 2 daemons and 1 engine
-    When the log makes a copy
+    When the log is backed up
     And a hold is sent with key "k-1" and body "a"
-    And the log comes back from its copy
-    And a hold is sent with key "k-2" and body "a" as soon as the daemon knows
+    And the log is restored from the backup
+    And a hold is sent with key "k-2" and body "a" once the daemon detects the restore
     Then it is refused with claim_unavailable, a remedy and ran "no"
 
-  Scenario: What is in force stays when the log comes back from a copy without it
+  Scenario: A contract in force is kept when the restored log lacks it
     Given a site of 2 daemons and 1 engine
-    When the log makes a copy
-    And an operator publishes a contract that allows 7 requests at a time
-    And the log comes back from its copy
-    Then all daemons go on with 7 requests at a time
-    When an operator publishes a contract that allows 9 requests at a time
-    Then all daemons come to allow 9 requests at a time
+    When the log is backed up
+    And an operator publishes a contract that allows 7 concurrent requests
+    And the log is restored from the backup
+    Then all daemons still allow 7 concurrent requests
+    When an operator publishes a contract that allows 9 concurrent requests
+    Then all daemons change to allow 9 concurrent requests
 
-  Scenario: A page of the log that was on its way when it came back from a copy is not taken
+  Scenario: A page read before a restore and received after it is discarded
     Given a reader of a log in era 1 that has read 5 records
-    When a page in era 2 says that the log has 3 records
-    And a page of era 1 comes late
-    Then the reader was told once that the log came back, and took no page after it
+    When a page of era 2 reports a log of 3 records
+    And a page of era 1 arrives late
+    Then the reader reported one restore and accepted no page after it
