--- a/src/brassdrum/daemon/engine_run.py
+++ b/src/brassdrum/daemon/engine_run.py
@@ -14,7 +14,7 @@
 from brassdrum.http_pool import Connected, ExchangeFailedError
 from brassdrum.outcomes.stream import CheckedEvent, EventVerdict, StreamAssembler
 
-__all__ = ["EngineRun", "RunTimeouts", "StreamIdentity"]
+__all__ = ["EngineStreamReader", "StreamIdentity", "StreamTimeouts"]
 
 _MAX_RESUMES_WITHOUT_PROGRESS = 10
 _RESUME_DELAY_SECONDS = 0.05
@@ -31,15 +31,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunTimeouts:
-    """Hold a run's deadline and first-event limit in monotonic time, and its idle timeout."""
+class StreamTimeouts:
+    """Hold a stream's deadline and first-event limit in monotonic time, and its idle timeout."""
 
     deadline: float
     first_event_by: float
     idle_seconds: float
 
 
-class EngineRun:
+class EngineStreamReader:
     """Return each event of a stream once; resume at the engine when the connection breaks.
 
     ``start``, ``next_events`` and ``recover`` block. After ``take_over`` the caller polls the
@@ -55,7 +55,7 @@
         clock: Clock,
         watch: Watch,
         cancels: CancelQueue,
-        times: RunTimeouts,
+        times: StreamTimeouts,
         disconnected: Callable[[], bool],
         on_dropped: Callable[[EventVerdict], None],
         next_index: int = 0,
--- a/src/brassdrum/daemon/generation.py
+++ b/src/brassdrum/daemon/generation.py
@@ -12,7 +12,7 @@
 from brassdrum.daemon.content_guard import ContentGuard
 from brassdrum.daemon.core import Core, Scope, content_of
 from brassdrum.daemon.dispatcher import Placement
-from brassdrum.daemon.engine_run import EngineRun, RunTimeouts, StreamIdentity
+from brassdrum.daemon.engine_run import EngineStreamReader, StreamIdentity, StreamTimeouts
 from brassdrum.daemon.finishing import RequestLifecycle, handle
 from brassdrum.daemon.relay import RelayedStream, StreamListener
 from brassdrum.daemon.streaming import DONE, SSE, StreamBody, error_chunk
@@ -191,15 +191,15 @@
         lifecycle: RequestLifecycle,
         content: str,
     ) -> Response:
-        run, ticket = self._open_run(scope, generation, placement, lifecycle)
-        first = self._wait_first_events(scope, run, placement, generation)
+        reader, ticket = self._open_reader(scope, generation, placement, lifecycle)
+        first = self._wait_first_events(scope, reader, placement, generation)
         headers = {
             "Brassdrum-Request-Id": scope.request_id,
             "Brassdrum-Resume-Token": self._core.resume_tokens.sign(ticket),
             "Cache-Control": "no-store",
         }
         listener = GenerationListener(generation, placement, lifecycle, self._core.guard, content)
-        stream = RelayedStream(run, listener, error_chunk)
+        stream = RelayedStream(reader, listener, error_chunk)
         body = StreamBody(scope.request, self._core.relay, stream, listener, first)
         return Response(200, body, SSE, headers)
 
@@ -210,18 +210,18 @@
         placement: Placement,
         lifecycle: RequestLifecycle,
     ) -> Response:
-        run, _ = self._open_run(scope, generation, placement, lifecycle)
+        reader, _ = self._open_reader(scope, generation, placement, lifecycle)
         builder = AnswerBuilder(generation.model, chat=generation.chat)
-        events = self._wait_first_events(scope, run, placement, generation)
+        events = self._wait_first_events(scope, reader, placement, generation)
         usage = None
         try:
             while events:
                 for event in events:
                     builder.add(event.data)
                     usage = Usage.from_event(event.data) or usage
-                events = run.next_events()
+                events = reader.next_events()
         finally:
-            run.close()
+            reader.close()
         response = json_response(builder.build(), Brassdrum_Request_Id=scope.request_id)
         lifecycle.answered(placement, generation.characters, usage)
         lifecycle.ticket.finish(200, response.content_type, b"".join(response.chunks))
@@ -229,12 +229,16 @@
         return response
 
     def _wait_first_events(
-        self, scope: Scope, run: EngineRun, placement: Placement, generation: GenerationRequest
+        self,
+        scope: Scope,
+        reader: EngineStreamReader,
+        placement: Placement,
+        generation: GenerationRequest,
     ) -> list[CheckedEvent]:
         clock = self._core.clock
         started = clock.monotonic()
         with scope.trace.hop("first token", endpoint=placement.state.endpoint.name):
-            first = run.start()
+            first = reader.start()
         now = clock.monotonic()
         self._core.dispatcher.record_first_token(placement)
         if placement.idle_at_start:
@@ -247,13 +251,13 @@
         )
         return first
 
-    def _open_run(
+    def _open_reader(
         self,
         scope: Scope,
         generation: GenerationRequest,
         placement: Placement,
         lifecycle: RequestLifecycle,
-    ) -> tuple[EngineRun, ResumeTicket]:
+    ) -> tuple[EngineStreamReader, ResumeTicket]:
         core = self._core
         endpoint = placement.state.endpoint.name
         engine = core.dispatcher.fleet.engines_by_name[endpoint]
@@ -271,14 +275,14 @@
         )
         estimate = core.dispatcher.fleet.estimates_by_model[generation.model]
         expected = estimate.prefill_seconds(generation.prompt_tokens)
-        run = EngineRun(
+        reader = EngineStreamReader(
             engine,
             StreamIdentity(stream, generation.model, generation.chat),
             lambda on_connected: engine.open(request, on_connected),
             clock=core.clock,
             watch=core.watch,
             cancels=core.cancels,
-            times=RunTimeouts(
+            times=StreamTimeouts(
                 deadline=scope.deadline,
                 first_event_by=now
                 + _FIRST_EVENT_BASE_SECONDS
@@ -297,7 +301,7 @@
             chat=generation.chat,
             deadline=core.wall_time(scope.deadline),
         )
-        return run, ticket
+        return reader, ticket
 
     def _record_dropped_event(self, verdict: EventVerdict) -> None:
         _logger.warning("engine event dropped", extra={"verdict": verdict.value})
--- a/src/brassdrum/daemon/relay.py
+++ b/src/brassdrum/daemon/relay.py
@@ -13,7 +13,7 @@
 from enum import Enum, auto
 
 from brassdrum.clock import Clock
-from brassdrum.daemon.engine_run import EngineRun
+from brassdrum.daemon.engine_run import EngineStreamReader
 from brassdrum.errors import BrassdrumError, EndpointFailedError
 from brassdrum.outcomes.stream import CheckedEvent
 from brassdrum.wsgi_stream import StreamWriter
@@ -51,15 +51,15 @@
 
 
 class RelayedStream:
-    """Connect an engine run to the caller's writer and a listener."""
+    """Connect an engine stream reader to the caller's writer and a listener."""
 
     def __init__(
         self,
-        run: EngineRun,
+        reader: EngineStreamReader,
         listener: StreamListener,
         error_chunk: Callable[[BrassdrumError], bytes],
     ) -> None:
-        self.run = run
+        self.reader = reader
         self.writer: StreamWriter | None = None
         self._listener = listener
         self._error_chunk = error_chunk
@@ -97,7 +97,7 @@
         if self._closed:
             return False
         self._closed = True
-        self.run.close()
+        self.reader.close()
         notify()
         return True
 
@@ -121,7 +121,8 @@
 class Relay:
     """Multiplex the engine and caller sockets of all streams; recover broken ones on threads.
 
-    A slow caller delays its own stream only: its engine is not read until its backlog is sent.
+    A slow caller delays its own stream only: when its backlog exceeds the limit, its engine is not
+    read until the backlog is sent.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -206,7 +207,7 @@
 
     def _register_stream(self, stream: RelayedStream) -> None:
         assert stream.writer is not None
-        stream.run.on_aborted = lambda: self._call_soon(
+        stream.reader.on_aborted = lambda: self._call_soon(
             lambda: self._call_or_drop(stream, self._drop_if_blocked)
         )
         stream.writer.flush()
@@ -216,32 +217,32 @@
         self._start_reading(stream)
 
     def _start_reading(self, stream: RelayedStream) -> None:
-        events = stream.run.take_over()
+        events = stream.reader.take_over()
         if events:
             self._deliver(stream, events)
-        if stream.run.complete or stream.run.broken:
+        if stream.reader.complete or stream.reader.broken:
             self._finish_or_recover(stream)
             return
         self._register_engine(stream)
 
     def _engine_readable(self, stream: RelayedStream) -> None:
         try:
-            data = stream.run.socket.recv(_READ_BYTES)
+            data = stream.reader.socket.recv(_READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
             data = b""
-        events = stream.run.feed(data)
+        events = stream.reader.feed(data)
         if events:
             self._deliver(stream, events)
-        if stream.run.complete or stream.run.broken:
-            self._unregister(stream.run.socket)
+        if stream.reader.complete or stream.reader.broken:
+            self._unregister(stream.reader.socket)
             self._finish_or_recover(stream)
 
     @staticmethod
     def _drop_if_blocked(stream: RelayedStream) -> None:
         # The engine of a blocked caller is not read, so its abort would go unnoticed.
-        if stream.writer is not None and stream.writer.backlog and not stream.run.closed:
+        if stream.writer is not None and stream.writer.backlog and not stream.reader.closed:
             raise ConnectionResetError("the caller took too long to read")
 
     def _caller_readable(self, stream: RelayedStream) -> None:
@@ -261,7 +262,7 @@
             return
         if stream.writer.backlog == 0:
             self._update_caller_events(stream)
-            if not stream.run.closed:
+            if not stream.reader.closed:
                 self._register_engine(stream)
 
     def _deliver(self, stream: RelayedStream, events: list[CheckedEvent]) -> None:
@@ -270,10 +271,10 @@
         if stream.writer.backlog:
             self._update_caller_events(stream)
         if stream.writer.backlog > _MAX_BACKLOG_BYTES:
-            self._unregister(stream.run.socket)
+            self._unregister(stream.reader.socket)
 
     def _finish_or_recover(self, stream: RelayedStream) -> None:
-        if not stream.run.complete:
+        if not stream.reader.complete:
             self._executor.submit(self._recover, stream)
             return
         stream.finish()
@@ -296,7 +297,7 @@
     def _recover(self, stream: RelayedStream) -> None:
         """Resume the stream at its engine; blocks, so it runs on the executor."""
         try:
-            stream.run.recover()
+            stream.reader.recover()
         except BrassdrumError as error:
             self._call_soon(lambda error=error: self._fail_stream(stream, error))
             return
@@ -315,7 +316,7 @@
         self._call_or_drop(stream, step)
 
     def _drop_stream(self, stream: RelayedStream) -> None:
-        self._unregister(stream.run.socket)
+        self._unregister(stream.reader.socket)
         stream.interrupt()
         self._close_caller(stream)
 
@@ -337,7 +338,7 @@
         )
 
     def _register_engine(self, stream: RelayedStream) -> None:
-        sock = stream.run.socket
+        sock = stream.reader.socket
         if sock.fileno() >= 0 and sock.fileno() not in self._selector.get_map():
             self._selector.register(sock, selectors.EVENT_READ, _Registration(stream, _Side.ENGINE))
 
--- a/src/brassdrum/daemon/resuming.py
+++ b/src/brassdrum/daemon/resuming.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from brassdrum.daemon.core import Core, Scope
-from brassdrum.daemon.engine_run import EngineRun, RunTimeouts, StreamIdentity
+from brassdrum.daemon.engine_run import EngineStreamReader, StreamIdentity, StreamTimeouts
 from brassdrum.daemon.finishing import RequestLifecycle, handle
 from brassdrum.daemon.relay import RelayedStream, StreamListener
 from brassdrum.daemon.streaming import SSE, StreamBody, error_chunk
@@ -46,9 +46,9 @@
                 "The stream's endpoint is no longer in the fleet.", ran=Ran.MAYBE
             )
         start = _next_index(scope.request)
-        run = self._open(scope, ticket, engine, start)
+        reader = self._open_reader(scope, ticket, engine, start)
         try:
-            first = run.start()
+            first = reader.start()
         except EndpointFailedError as error:
             raise ResumeRefusedError(
                 "The endpoint no longer holds the stream.", ran=Ran.MAYBE
@@ -56,13 +56,13 @@
         self._core.explanations.add(scope.request_id, "resumed", f"{ticket.request} from {start}")
         headers = {"Brassdrum-Request-Id": ticket.request, "Brassdrum-Resume-Token": token}
         listener = _ResumeListener(lifecycle)
-        stream = RelayedStream(run, listener, error_chunk)
+        stream = RelayedStream(reader, listener, error_chunk)
         body = StreamBody(scope.request, self._core.relay, stream, listener, first)
         return Response(200, body, SSE, headers)
 
-    def _open(
+    def _open_reader(
         self, scope: Scope, ticket: ResumeTicket, engine: EngineClient, start: int
-    ) -> EngineRun:
+    ) -> EngineStreamReader:
         core = self._core
         now = core.clock.monotonic()
         deadline = now + ticket.deadline - core.clock.now().timestamp()
@@ -78,14 +78,14 @@
                 seconds=max(0.05, deadline - now),
             )
 
-        return EngineRun(
+        return EngineStreamReader(
             engine,
             identity,
             connect,
             clock=core.clock,
             watch=core.watch,
             cancels=core.cancels,
-            times=RunTimeouts(
+            times=StreamTimeouts(
                 deadline=deadline,
                 first_event_by=now + core.settings.idle_timeout_seconds,
                 idle_seconds=core.settings.idle_timeout_seconds,
