--- a/src/brassdrum/daemon/generation.py
+++ b/src/brassdrum/daemon/generation.py
@@ -166,7 +166,7 @@
         if start_by <= scope.arrived:
             raise DeadlineUnreachableError(
                 f"The prompt alone takes about {needed:.1f} s, more than the time left.",
-                remedy="Allow more time by Brassdrum-Timeout.",
+                remedy="Allow more time with Brassdrum-Timeout.",
             )
         self._core.limits.acquire(scope.organisation, generation.tokens)
         return Work(
