--- a/src/brassdrum/daemon/generation.py
+++ b/src/brassdrum/daemon/generation.py
@@ -1,4 +1,4 @@
-"""Handle completions and chat completions."""
+"""Handle completion and chat completion requests."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from brassdrum.daemon.content_guard import ContentGuard
 from brassdrum.daemon.core import Core, Scope, content_of
 from brassdrum.daemon.dispatcher import Placement
-from brassdrum.daemon.engine_run import EngineRun, RunTimes, StreamIdentity
-from brassdrum.daemon.finishing import Ending, handle
-from brassdrum.daemon.relay import RelayedStream, StreamEnd
+from brassdrum.daemon.engine_run import EngineStreamReader, StreamIdentity, StreamTimeouts
+from brassdrum.daemon.finishing import RequestLifecycle, handle
+from brassdrum.daemon.relay import RelayedStream, StreamListener
 from brassdrum.daemon.streaming import DONE, SSE, StreamBody, error_chunk
 from brassdrum.endpoints.engine import EngineRequest
 from brassdrum.endpoints.openai import ChatRequest, CompletionRequest, parse_chat, parse_completion
@@ -37,14 +37,14 @@
 __all__ = ["GenerationHandler"]
 
 _logger = logging.getLogger(__name__)
-_FIRST_EVENT_SECONDS = 15.0
-_FIRST_EVENT_FACTOR = 5.0
-_LARGEST_REPLAY = 32 * 1024
+_FIRST_EVENT_BASE_SECONDS = 15.0
+_FIRST_EVENT_PREFILL_FACTOR = 5.0
+_MAX_REPLAY_BYTES = 32 * 1024
 
 
 @dataclass(frozen=True, slots=True)
-class Generation:
-    """Hold a parsed request; the body itself goes to the engine unchanged."""
+class GenerationRequest:
+    """Hold a parsed request; the body is forwarded to the engine unchanged."""
 
     body: bytes
     path: str
@@ -58,12 +58,12 @@
 
     @property
     def tokens(self) -> int:
-        """Return the most tokens that the request may use."""
+        """Return the maximum number of tokens that the request may use."""
         return self.prompt_tokens + self.answer_tokens
 
 
 class GenerationHandler:
-    """Admit, place and answer generation requests."""
+    """Admit, dispatch and answer generation requests."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
@@ -78,44 +78,46 @@
 
     def _handle(self, request: Request, *, chat: bool) -> Response:
         return handle(
-            self._core, request, lambda scope, ending: self._run(scope, ending, chat=chat)
+            self._core, request, lambda scope, lifecycle: self._run(scope, lifecycle, chat=chat)
         )
 
-    def _run(self, scope: Scope, ending: Ending, *, chat: bool) -> Response:
+    def _run(self, scope: Scope, lifecycle: RequestLifecycle, *, chat: bool) -> Response:
         body = scope.request.body()
         content = content_of(scope, body)
         self._core.guard.check(content)
         with scope.trace.hop("admission"):
             generation = self._parse(scope, body, chat=chat)
             work = self._admit(scope, generation)
-            ending.admitted(work)
+            lifecycle.admitted(work)
         ticket = claim(self._core, scope, body)
         if isinstance(ticket, OutcomeRecord):
-            ending.succeeded(None)
+            lifecycle.succeeded(None)
             return replay(ticket)
-        ending.ticket = ticket
+        lifecycle.ticket = ticket
         repeatable = generation.model in scope.contract.repeatable.models and scope.may_repeat
-        ending.repeatable = repeatable
-        larger = generation.tokens > self._core.dispatcher.fleet.largest_memory(generation.model)
+        lifecycle.repeatable = repeatable
+        needs_group = generation.tokens > self._core.dispatcher.fleet.largest_memory(
+            generation.model
+        )
         attempts = Attempts(
             self._core,
             scope,
             content,
             repeatable=repeatable,
-            place=ending.place_group if larger else None,
+            place=lifecycle.place_group if needs_group else None,
         )
         if generation.stream:
             return attempts.run(
                 work,
-                lambda placement: self._streamed(scope, generation, placement, ending, content),
+                lambda placement: self._streamed(scope, generation, placement, lifecycle, content),
             )
         answer = attempts.run(
-            work, lambda placement: self._whole(scope, generation, placement, ending)
+            work, lambda placement: self._buffered(scope, generation, placement, lifecycle)
         )
         self._core.guard.served(content)
         return answer
 
-    def _parse(self, scope: Scope, body: bytes, *, chat: bool) -> Generation:
+    def _parse(self, scope: Scope, body: bytes, *, chat: bool) -> GenerationRequest:
         content: ChatRequest | CompletionRequest
         content = parse_chat(body) if chat else parse_completion(body)
         if content.model not in scope.contract.models:
@@ -124,7 +126,7 @@
         if estimate is None or content.model not in scope.view.models_by_name:
             raise UnknownModelError(f"The fleet has no model {content.model!r}.")
         text = content.prompt_text()
-        return Generation(
+        return GenerationRequest(
             body=body,
             path=scope.request.path,
             model=content.model,
@@ -136,7 +138,7 @@
             blocks=tuple(block_hashes(text)),
         )
 
-    def _admit(self, scope: Scope, generation: Generation) -> Work:
+    def _admit(self, scope: Scope, generation: GenerationRequest) -> Work:
         limits = scope.contract.limits
         if generation.prompt_tokens > limits.longest_prompt:
             raise PromptTooLongError(
@@ -150,7 +152,9 @@
             )
         context = scope.view.models_by_name[generation.model].context_tokens
         if generation.tokens > context:
-            raise PromptTooLongError(f"Prompt and answer exceed the model's {context} tokens.")
+            raise PromptTooLongError(
+                f"Prompt and answer exceed the model's context of {context} tokens."
+            )
         fleet = self._core.dispatcher.fleet
         states = fleet.states_by_target.get(generation.model, [])
         if not can_ever_fit(generation.tokens, states):
@@ -162,7 +166,7 @@
         if start_by <= scope.arrived:
             raise DeadlineUnreachableError(
                 f"The prompt alone takes about {needed:.1f} s, more than the time left.",
-                remedy="Allow more time by Brassdrum-Timeout.",
+                remedy="Allow more time with Brassdrum-Timeout.",
             )
         self._core.limits.acquire(scope.organisation, generation.tokens)
         return Work(
@@ -182,53 +186,61 @@
     def _streamed(
         self,
         scope: Scope,
-        generation: Generation,
+        generation: GenerationRequest,
         placement: Placement,
-        ending: Ending,
+        lifecycle: RequestLifecycle,
         content: str,
     ) -> Response:
-        run, ticket = self._open(scope, generation, placement, ending)
-        first = self._first(scope, run, placement, generation)
+        reader, ticket = self._open_reader(scope, generation, placement, lifecycle)
+        first = self._wait_first_events(scope, reader, placement, generation)
         headers = {
             "Brassdrum-Request-Id": scope.request_id,
             "Brassdrum-Resume-Token": self._core.resume_tokens.sign(ticket),
             "Cache-Control": "no-store",
         }
-        end = GenerationEnd(generation, placement, ending, self._core.guard, content)
-        stream = RelayedStream(run, end, error_chunk)
-        body = StreamBody(scope.request, self._core.relay, stream, end, first)
+        listener = GenerationListener(generation, placement, lifecycle, self._core.guard, content)
+        stream = RelayedStream(reader, listener, error_chunk)
+        body = StreamBody(scope.request, self._core.relay, stream, listener, first)
         return Response(200, body, SSE, headers)
 
-    def _whole(
-        self, scope: Scope, generation: Generation, placement: Placement, ending: Ending
+    def _buffered(
+        self,
+        scope: Scope,
+        generation: GenerationRequest,
+        placement: Placement,
+        lifecycle: RequestLifecycle,
     ) -> Response:
-        run, _ = self._open(scope, generation, placement, ending)
+        reader, _ = self._open_reader(scope, generation, placement, lifecycle)
         builder = AnswerBuilder(generation.model, chat=generation.chat)
-        events = self._first(scope, run, placement, generation)
+        events = self._wait_first_events(scope, reader, placement, generation)
         usage = None
         try:
             while events:
                 for event in events:
                     builder.add(event.data)
-                    usage = Usage.in_event(event.data) or usage
-                events = run.next_events()
+                    usage = Usage.from_event(event.data) or usage
+                events = reader.next_events()
         finally:
-            run.close()
-        response = json_response(builder.content(), Brassdrum_Request_Id=scope.request_id)
-        ending.answered(placement, generation.characters, usage)
-        ending.ticket.finish(200, response.content_type, b"".join(response.chunks))
-        ending.succeeded(usage)
+            reader.close()
+        response = json_response(builder.build(), Brassdrum_Request_Id=scope.request_id)
+        lifecycle.answered(placement, generation.characters, usage)
+        lifecycle.ticket.finish(200, response.content_type, b"".join(response.chunks))
+        lifecycle.succeeded(usage)
         return response
 
-    def _first(
-        self, scope: Scope, run: EngineRun, placement: Placement, generation: Generation
+    def _wait_first_events(
+        self,
+        scope: Scope,
+        reader: EngineStreamReader,
+        placement: Placement,
+        generation: GenerationRequest,
     ) -> list[CheckedEvent]:
         clock = self._core.clock
         started = clock.monotonic()
         with scope.trace.hop("first token", endpoint=placement.state.endpoint.name):
-            first = run.start()
+            first = reader.start()
         now = clock.monotonic()
-        self._core.dispatcher.first_token(placement)
+        self._core.dispatcher.record_first_token(placement)
         if placement.idle_at_start:
             estimate = self._core.dispatcher.fleet.estimates_by_model[generation.model]
             estimate.learn_prefill(placement.own.prefill_tokens, now - started)
@@ -239,9 +251,13 @@
         )
         return first
 
-    def _open(
-        self, scope: Scope, generation: Generation, placement: Placement, ending: Ending
-    ) -> tuple[EngineRun, ResumeTicket]:
+    def _open_reader(
+        self,
+        scope: Scope,
+        generation: GenerationRequest,
+        placement: Placement,
+        lifecycle: RequestLifecycle,
+    ) -> tuple[EngineStreamReader, ResumeTicket]:
         core = self._core
         endpoint = placement.state.endpoint.name
         engine = core.dispatcher.fleet.engines_by_name[endpoint]
@@ -255,24 +271,26 @@
             priority=_priority(placement.work),
             seconds=max(0.05, scope.deadline - now),
             traceparent=scope.trace.traceparent(),
-            reservation=None if ending.group is None else ending.group.id,
+            reservation=None if lifecycle.group is None else lifecycle.group.id,
         )
         estimate = core.dispatcher.fleet.estimates_by_model[generation.model]
         expected = estimate.prefill_seconds(generation.prompt_tokens)
-        run = EngineRun(
+        reader = EngineStreamReader(
             engine,
             StreamIdentity(stream, generation.model, generation.chat),
             lambda on_connected: engine.open(request, on_connected),
             clock=core.clock,
             watch=core.watch,
             cancels=core.cancels,
-            times=RunTimes(
+            times=StreamTimeouts(
                 deadline=scope.deadline,
-                first_event_by=now + _FIRST_EVENT_SECONDS + _FIRST_EVENT_FACTOR * expected,
+                first_event_by=now
+                + _FIRST_EVENT_BASE_SECONDS
+                + _FIRST_EVENT_PREFILL_FACTOR * expected,
                 idle_seconds=core.settings.idle_timeout_seconds,
             ),
             disconnected=scope.request.disconnected,
-            on_dropped=self._dropped,
+            on_dropped=self._record_dropped_event,
         )
         ticket = ResumeTicket(
             organisation=scope.organisation,
@@ -283,21 +301,21 @@
             chat=generation.chat,
             deadline=core.wall_time(scope.deadline),
         )
-        return run, ticket
+        return reader, ticket
 
-    def _dropped(self, verdict: EventVerdict) -> None:
+    def _record_dropped_event(self, verdict: EventVerdict) -> None:
         _logger.warning("engine event dropped", extra={"verdict": verdict.value})
         observe(self._core.metrics.dropped_events.add, 1, {"verdict": verdict.value})
 
 
-class GenerationEnd(StreamEnd):
-    """Count what a stream used, keep a small answer for its key and end the request."""
+class GenerationListener(StreamListener):
+    """Record a stream's usage, keep a small answer for replay and complete the request."""
 
     def __init__(
         self,
-        generation: Generation,
+        generation: GenerationRequest,
         placement: Placement,
-        ending: Ending,
+        lifecycle: RequestLifecycle,
         guard: ContentGuard,
         content: str,
     ) -> None:
@@ -305,30 +323,30 @@
         self._content = content
         self._generation = generation
         self._placement = placement
-        self._ending = ending
+        self._lifecycle = lifecycle
         self._usage: Usage | None = None
-        self._kept: list[bytes] = []
-        self._kept_bytes = 0
+        self._replay_chunks: list[bytes] = []
+        self._replay_bytes = 0
 
     def delivered(self, event: CheckedEvent, chunk: bytes) -> None:
-        """Look for the engine's count and keep the chunk while the answer is small."""
-        self._usage = Usage.in_event(event.data) or self._usage
-        if self._ending.ticket.claimer is None or self._kept_bytes > _LARGEST_REPLAY:
+        """Record the usage and keep the chunk while the answer is small enough to replay."""
+        self._usage = Usage.from_event(event.data) or self._usage
+        if self._lifecycle.ticket.claimer is None or self._replay_bytes > _MAX_REPLAY_BYTES:
             return
-        self._kept_bytes += len(chunk)
-        self._kept.append(chunk)
+        self._replay_bytes += len(chunk)
+        self._replay_chunks.append(chunk)
 
     def finished(self) -> None:
-        """End a request that was answered whole."""
+        """Complete a request whose answer is complete."""
         self._guard.served(self._content)
         self._release()
-        whole = self._kept_bytes <= _LARGEST_REPLAY
-        body = b"".join([*self._kept, DONE]) if whole else None
-        self._ending.ticket.finish(200, SSE, body)
-        self._ending.succeeded(self._usage)
+        replayable = self._replay_bytes <= _MAX_REPLAY_BYTES
+        body = b"".join([*self._replay_chunks, DONE]) if replayable else None
+        self._lifecycle.ticket.finish(200, SSE, body)
+        self._lifecycle.succeeded(self._usage)
 
     def failed(self, error: BrassdrumError) -> None:
-        """End a request whose answer broke off."""
+        """Complete a request whose answer ended early with an error."""
         if isinstance(error, EndpointEndedError):
             self._guard.ended(
                 self._content,
@@ -337,18 +355,18 @@
             )
         error.ran = Ran.MAYBE
         self._release()
-        self._ending.failed(error)
+        self._lifecycle.failed(error)
 
     def interrupted(self) -> None:
-        """End a request whose caller went away."""
+        """Complete a request whose caller disconnected."""
         self._release()
-        self._ending.interrupted()
+        self._lifecycle.interrupted()
 
     def _release(self) -> None:
-        self._ending.answered(self._placement, self._generation.characters, self._usage)
+        self._lifecycle.answered(self._placement, self._generation.characters, self._usage)
 
 
 def _priority(work: Work) -> int:
-    """Return the engine's priority: shorter and more urgent first, aged long work in between."""
+    """Return the engine's priority; lower values, for shorter and more urgent work, run first."""
     bands = {"short": 0, "medium": 3, "long": 6}
     return bands[work.band.value] + work.urgency.rank
--- a/src/brassdrum/daemon/resuming.py
+++ b/src/brassdrum/daemon/resuming.py
@@ -1,13 +1,13 @@
-"""Go on with a stream that another daemon, or an earlier connection, began."""
+"""Resume a stream that was started by another daemon or on an earlier connection."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from brassdrum.daemon.core import Core, Scope
-from brassdrum.daemon.engine_run import EngineRun, RunTimes, StreamIdentity
-from brassdrum.daemon.finishing import Ending, handle
-from brassdrum.daemon.relay import RelayedStream, StreamEnd
+from brassdrum.daemon.engine_run import EngineStreamReader, StreamIdentity, StreamTimeouts
+from brassdrum.daemon.finishing import RequestLifecycle, handle
+from brassdrum.daemon.relay import RelayedStream, StreamListener
 from brassdrum.daemon.streaming import SSE, StreamBody, error_chunk
 from brassdrum.endpoints.engine import EngineClient, EngineConnection
 from brassdrum.errors import (
@@ -31,10 +31,10 @@
         self._core = core
 
     def handle(self, request: Request) -> Response:
-        """Return the stream from the event after ``Last-Event-ID`` on."""
+        """Return the stream, starting after ``Last-Event-ID``."""
         return handle(self._core, request, self._run)
 
-    def _run(self, scope: Scope, ending: Ending) -> Response:
+    def _run(self, scope: Scope, lifecycle: RequestLifecycle) -> Response:
         token = scope.request.header("Brassdrum-Resume-Token")
         if token is None:
             raise InvalidRequestError("The header Brassdrum-Resume-Token is missing.")
@@ -43,24 +43,26 @@
         engine = self._core.dispatcher.fleet.engines_by_name.get(ticket.endpoint)
         if engine is None:
             raise ResumeRefusedError(
-                "The endpoint of the stream has left the fleet.", ran=Ran.MAYBE
+                "The stream's endpoint is no longer in the fleet.", ran=Ran.MAYBE
             )
         start = _next_index(scope.request)
-        run = self._open(scope, ticket, engine, start)
+        reader = self._open_reader(scope, ticket, engine, start)
         try:
-            first = run.start()
+            first = reader.start()
         except EndpointFailedError as error:
-            raise ResumeRefusedError("The stream is no longer held.", ran=Ran.MAYBE) from error
+            raise ResumeRefusedError(
+                "The endpoint no longer holds the stream.", ran=Ran.MAYBE
+            ) from error
         self._core.explanations.add(scope.request_id, "resumed", f"{ticket.request} from {start}")
         headers = {"Brassdrum-Request-Id": ticket.request, "Brassdrum-Resume-Token": token}
-        end = _ResumeEnd(ending)
-        stream = RelayedStream(run, end, error_chunk)
-        body = StreamBody(scope.request, self._core.relay, stream, end, first)
+        listener = _ResumeListener(lifecycle)
+        stream = RelayedStream(reader, listener, error_chunk)
+        body = StreamBody(scope.request, self._core.relay, stream, listener, first)
         return Response(200, body, SSE, headers)
 
-    def _open(
+    def _open_reader(
         self, scope: Scope, ticket: ResumeTicket, engine: EngineClient, start: int
-    ) -> EngineRun:
+    ) -> EngineStreamReader:
         core = self._core
         now = core.clock.monotonic()
         deadline = now + ticket.deadline - core.clock.now().timestamp()
@@ -76,14 +78,14 @@
                 seconds=max(0.05, deadline - now),
             )
 
-        return EngineRun(
+        return EngineStreamReader(
             engine,
             identity,
             connect,
             clock=core.clock,
             watch=core.watch,
             cancels=core.cancels,
-            times=RunTimes(
+            times=StreamTimeouts(
                 deadline=deadline,
                 first_event_by=now + core.settings.idle_timeout_seconds,
                 idle_seconds=core.settings.idle_timeout_seconds,
@@ -99,24 +101,24 @@
     if value is None:
         return 0
     if not value.isdecimal() or len(value) > 9:
-        raise InvalidRequestError("The header Last-Event-ID is no index of an event.")
+        raise InvalidRequestError("The header Last-Event-ID is not an event index.")
     return int(value) + 1
 
 
-class _ResumeEnd(StreamEnd):
-    """End the request that resumed a stream."""
+class _ResumeListener(StreamListener):
+    """Complete the request that resumed a stream."""
 
-    def __init__(self, ending: Ending) -> None:
-        self._ending = ending
+    def __init__(self, lifecycle: RequestLifecycle) -> None:
+        self._lifecycle = lifecycle
 
     def finished(self) -> None:
-        """End it as answered."""
-        self._ending.succeeded(None)
+        """Complete the request as answered."""
+        self._lifecycle.succeeded(None)
 
     def failed(self, error: BrassdrumError) -> None:
-        """End it as failed."""
-        self._ending.failed(error)
+        """Complete the request as failed."""
+        self._lifecycle.failed(error)
 
     def interrupted(self) -> None:
-        """End it because the caller went away."""
-        self._ending.interrupted()
+        """Complete the request of a caller that disconnected."""
+        self._lifecycle.interrupted()
