--- a/src/brassdrum/daemon/core.py
+++ b/src/brassdrum/daemon/core.py
@@ -18,7 +18,7 @@
 from brassdrum.daemon.groups import Groups
 from brassdrum.daemon.limits import LimitBook
 from brassdrum.daemon.relay import Relay
-from brassdrum.daemon.watch import Watch
+from brassdrum.daemon.watch import ExchangeWatchdog
 from brassdrum.errors import InvalidRequestError, NotReadyError, UnknownKeyError
 from brassdrum.outcomes.claimer import ShardedClaims
 from brassdrum.outcomes.fingerprint import content_fingerprint
@@ -94,7 +94,7 @@
     limits: LimitBook
     claims: ShardedClaims
     resume_tokens: ResumeTokens
-    watch: Watch
+    watchdog: ExchangeWatchdog
     cancels: Cancels
     relay: Relay
     groups: Groups
--- a/src/brassdrum/daemon/engine_run.py
+++ b/src/brassdrum/daemon/engine_run.py
@@ -8,7 +8,7 @@
 
 from brassdrum.clock import Clock
 from brassdrum.daemon.cancels import Cancels
-from brassdrum.daemon.watch import AbortReason, Watch, Watched
+from brassdrum.daemon.watch import AbortReason, ExchangeWatchdog, WatchedExchange
 from brassdrum.endpoints.engine import EngineClient, EngineConnection
 from brassdrum.errors import CallerDisconnectedError, DeadlineExceededError, EndpointFailedError
 from brassdrum.http_pool import Connected, ExchangeFailedError
@@ -53,7 +53,7 @@
         connect: Callable[[Callable[[Connected], None]], EngineConnection],
         *,
         clock: Clock,
-        watch: Watch,
+        watch: ExchangeWatchdog,
         cancels: Cancels,
         times: RunTimes,
         disconnected: Callable[[], bool],
@@ -70,7 +70,9 @@
         self._assembler = StreamAssembler(identity.stream, next_index, on_dropped)
         self._connection: EngineConnection | None = None
         self._connected: Connected | None = None
-        self._watched = Watched(times.deadline, times.first_event_by, disconnected, self._abort)
+        self._watched = WatchedExchange(
+            times.deadline, times.first_event_by, disconnected, self._abort
+        )
         self.on_aborted: Callable[[], None] | None = None
         self._closed = False
         self._may_run = False
@@ -135,7 +137,7 @@
         events = self._assembler.feed(data)
         if events:
             self._resumes = 0
-            self._watched.silent_after = self._clock.monotonic() + self._times.idle_seconds
+            self._watched.silence_deadline = self._clock.monotonic() + self._times.idle_seconds
         return events
 
     def take_over(self) -> list[CheckedEvent]:
--- a/src/brassdrum/daemon/generation.py
+++ b/src/brassdrum/daemon/generation.py
@@ -264,7 +264,7 @@
             StreamIdentity(stream, generation.model, generation.chat),
             lambda on_connected: engine.open(request, on_connected),
             clock=core.clock,
-            watch=core.watch,
+            watch=core.watchdog,
             cancels=core.cancels,
             times=RunTimes(
                 deadline=scope.deadline,
--- a/src/brassdrum/daemon/main.py
+++ b/src/brassdrum/daemon/main.py
@@ -26,7 +26,7 @@
 from brassdrum.daemon.relay import Relay
 from brassdrum.daemon.routes import make_router
 from brassdrum.daemon.sharing import EndpointSharing
-from brassdrum.daemon.watch import Watch
+from brassdrum.daemon.watch import ExchangeWatchdog
 from brassdrum.leadership.holder import DutyHolder
 from brassdrum.leadership.lease import Lease
 from brassdrum.logservice.hosts import HttpHostList
@@ -205,7 +205,7 @@
         return base * max(1.0, len(self._serving()) / _HOST_READERS_PER_POLL)
 
     def _watch_pause(self) -> float:
-        return _WATCH_SECONDS if len(self.core.watch) else _IDLE_SECONDS
+        return _WATCH_SECONDS if len(self.core.watchdog) else _IDLE_SECONDS
 
     def _tick_pause(self) -> float:
         return _TICK_SECONDS if len(self._dispatcher.queue) else _IDLE_SECONDS
@@ -237,7 +237,7 @@
         loops.every("hosts", self._hosts_pause, self._read_hosts)
         loops.every("endpoints", lambda: settings.poll_seconds, self._endpoint_watch.step)
         loops.every("leaving", lambda: settings.poll_seconds / 2, self._sharing.mark_leaving)
-        loops.every("watch", self._watch_pause, self.core.watch.step)
+        loops.every("watch", self._watch_pause, self.core.watchdog.step)
         loops.every("groups", self.core.groups.renew_pause, self.core.groups.renew)
         loops.every("cancels", lambda: 0.0, self.core.cancels.step)
         loops.every("tick", self._tick_pause, self._dispatcher.pump)
@@ -287,7 +287,7 @@
             limits=self._limits,
             claims=self._claims,
             resume_tokens=ResumeTokens(settings.resume_keys),
-            watch=Watch(self._clock),
+            watchdog=ExchangeWatchdog(self._clock),
             cancels=Cancels(self._clock),
             relay=Relay(self._clock),
             groups=Groups(self._dispatcher, self._clock, settings.name),
--- a/src/brassdrum/daemon/resuming.py
+++ b/src/brassdrum/daemon/resuming.py
@@ -81,7 +81,7 @@
             identity,
             connect,
             clock=core.clock,
-            watch=core.watch,
+            watch=core.watchdog,
             cancels=core.cancels,
             times=RunTimes(
                 deadline=deadline,
--- a/src/brassdrum/daemon/watch.py
+++ b/src/brassdrum/daemon/watch.py
@@ -9,7 +9,7 @@
 
 from brassdrum.clock import Clock
 
-__all__ = ["AbortReason", "Watch", "Watched"]
+__all__ = ["AbortReason", "ExchangeWatchdog", "WatchedExchange"]
 
 
 class AbortReason(StrEnum):
@@ -21,56 +21,56 @@
 
 
 @dataclass(slots=True)
-class Watched:
-    """Hold one exchange; ``silent_after`` moves with each event that arrives."""
+class WatchedExchange:
+    """Hold one exchange; ``silence_deadline`` moves with each event that arrives."""
 
     deadline: float
-    silent_after: float
+    silence_deadline: float
     disconnected: Callable[[], bool]
     abort: Callable[[], None]
     reason: AbortReason | None = None
 
 
-class Watch:
+class ExchangeWatchdog:
     """Look at every exchange again and again; a blocked reader cannot do so itself."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._lock = threading.Lock()
-        self._watched_by_id: dict[int, Watched] = {}
+        self._exchanges_by_id: dict[int, WatchedExchange] = {}
 
     def __len__(self) -> int:
-        return len(self._watched_by_id)
+        return len(self._exchanges_by_id)
 
-    def add(self, watched: Watched) -> None:
+    def add(self, watched: WatchedExchange) -> None:
         """Begin to watch."""
         with self._lock:
-            self._watched_by_id[id(watched)] = watched
+            self._exchanges_by_id[id(watched)] = watched
 
-    def remove(self, watched: Watched) -> None:
+    def remove(self, watched: WatchedExchange) -> None:
         """Stop watching."""
         with self._lock:
-            self._watched_by_id.pop(id(watched), None)
+            self._exchanges_by_id.pop(id(watched), None)
 
     def step(self) -> None:
         """Abort what has to end."""
         now = self._clock.monotonic()
         with self._lock:
-            all_watched = list(self._watched_by_id.values())
+            all_watched = list(self._exchanges_by_id.values())
         for watched in all_watched:
             if watched.reason is not None:
                 continue
-            reason = _reason(watched, now)
+            reason = _abort_reason(watched, now)
             if reason is None:
                 continue
             watched.reason = reason
             watched.abort()
 
 
-def _reason(watched: Watched, now: float) -> AbortReason | None:
+def _abort_reason(watched: WatchedExchange, now: float) -> AbortReason | None:
     if now >= watched.deadline:
         return AbortReason.DEADLINE
-    if now >= watched.silent_after:
+    if now >= watched.silence_deadline:
         return AbortReason.SILENT
     if watched.disconnected():
         return AbortReason.DISCONNECTED
