--- a/features/steps/guard_steps.py
+++ b/features/steps/guard_steps.py
@@ -73,7 +73,7 @@
 @when("requests with one content find {engine} crashed, {times:d} times {seconds:g} seconds apart")
 def step_found_crashed(context, engine, times, seconds):
     for _ in range(times):
-        context.named.ended(content("a"), engine)
+        context.named.record_crash(content("a"), engine)
         context.clock.advance(seconds)
 
 
@@ -86,8 +86,8 @@
 def step_responds_and_crashes(context, engine, times):
     for _ in range(times):
         context.clock.advance(3.0)
-        context.named.answered(engine)
-        context.named.ended(content("a"), engine)
+        context.named.record_response(engine)
+        context.named.record_crash(content("a"), engine)
     context.clock.advance(1.0)
 
 
--- a/src/brassdrum/daemon/attempts.py
+++ b/src/brassdrum/daemon/attempts.py
@@ -61,7 +61,7 @@
                 self._core.dispatcher.release(placement)
                 self._judge_endpoint(placement, error)
                 if isinstance(error, EndpointEndedError):
-                    end = self._core.guard.ended(
+                    end = self._core.guard.record_crash(
                         self._content, placement.state.endpoint.name, placement.own.dispatched
                     )
                     self._own_ends.add(end)
@@ -71,7 +71,7 @@
                 self._core.dispatcher.release(placement)
                 raise
             placement.state.breaker.record_success()
-            self._core.guard.answered(placement.state.endpoint.name)
+            self._core.guard.record_response(placement.state.endpoint.name)
             return answer
 
     def _place_or_tell(self, work: Work) -> Placement:
@@ -84,7 +84,7 @@
 
     def _alone(self, work: Work) -> Work:
         """Keep a request that may end its endpoint away from the streams of others."""
-        if not self._core.guard.suspect(self._content, self._own_ends):
+        if not self._core.guard.is_suspect(self._content, self._own_ends):
             return work
         now = self._core.clock.monotonic()
         with self._core.dispatcher.lock:
--- a/src/brassdrum/daemon/calls.py
+++ b/src/brassdrum/daemon/calls.py
@@ -65,7 +65,7 @@
         ending.repeatable = scope.may_repeat and is_repeatable(service, scope.request.method, path)
         attempts = Attempts(self._core, scope, content, repeatable=ending.repeatable)
         answer = attempts.run(work, lambda placement: self._send(scope, placement, path, body))
-        self._core.guard.served(content)
+        self._core.guard.record_served(content)
         ticket.finish(answer.status, answer.content_type, answer.body)
         ending.succeeded(None)
         return Response(
--- a/src/brassdrum/daemon/generation.py
+++ b/src/brassdrum/daemon/generation.py
@@ -112,7 +112,7 @@
         answer = attempts.run(
             work, lambda placement: self._whole(scope, generation, placement, ending)
         )
-        self._core.guard.served(content)
+        self._core.guard.record_served(content)
         return answer
 
     def _parse(self, scope: Scope, body: bytes, *, chat: bool) -> Generation:
@@ -320,7 +320,7 @@
 
     def finished(self) -> None:
         """End a request that was answered whole."""
-        self._guard.served(self._content)
+        self._guard.record_served(self._content)
         self._release()
         whole = self._kept_bytes <= _LARGEST_REPLAY
         body = b"".join([*self._kept, DONE]) if whole else None
@@ -330,7 +330,7 @@
     def failed(self, error: BrassdrumError) -> None:
         """End a request whose answer broke off."""
         if isinstance(error, EndpointEndedError):
-            self._guard.ended(
+            self._guard.record_crash(
                 self._content,
                 self._placement.state.endpoint.name,
                 self._placement.own.dispatched,
--- a/src/brassdrum/daemon/main.py
+++ b/src/brassdrum/daemon/main.py
@@ -327,14 +327,14 @@
         if entry.state != LEAVING:
             entry.state = STARTING if self.not_ready() else READY
         self._sharing.describe(entry)
-        self.core.guard.describe(entry)
+        self.core.guard.fill_entry(entry)
 
     def _merged(self, newer: list[DaemonEntry]) -> None:
         with self.gossip.lock:
             live = self.gossip.table.live_peers(self._clock.monotonic())
             long_loads = [record.entry.long_load for record in live]
         self._sharing.take(newer, long_loads)
-        self.core.guard.take(newer)
+        self.core.guard.merge_entries(newer)
 
     def _own_leaving(self) -> set[str]:
         return self._hosts.leaving_endpoints() | self._endpoint_watch.draining
