--- a/src/brassdrum/daemon/finishing.py
+++ b/src/brassdrum/daemon/finishing.py
@@ -37,7 +37,7 @@
     def admitted(self, work: Work) -> None:
         """Note that limits were taken for the request."""
         self._work = work
-        self._core.dispatcher.fleet.note_arrival(work)
+        self._core.dispatcher.fleet.record_arrival(work)
         self._core.explanations.add(
             self._scope.request_id,
             "admitted",
--- a/src/brassdrum/daemon/fleet.py
+++ b/src/brassdrum/daemon/fleet.py
@@ -20,8 +20,8 @@
 
 __all__ = ["Fleet"]
 
-_LONG_HALF_LIFE = 10.0
-_DEFAULT_PREFILL_RATE = 20_000.0
+_LONG_LOAD_HALF_LIFE_SECONDS = 10.0
+_DEFAULT_PREFILL_TOKENS_PER_SECOND = 20_000.0
 _SERVICE_POLICY = "least_outstanding"
 
 
@@ -40,7 +40,7 @@
         self._zone = zone
         self._policy_override = policy
         self._random = random.Random()
-        self._started = clock.monotonic()
+        self._started_at = clock.monotonic()
         self._settings = PolicySettings()
         self._policies_by_target: dict[str, Policy] = {}
         self.states_by_name: dict[str, EndpointState] = {}
@@ -48,10 +48,10 @@
         self.engines_by_name: dict[str, EngineClient] = {}
         self.services_by_name: dict[str, ServiceClient] = {}
         self.estimates_by_model: dict[str, ModelEstimate] = {}
-        self._endpoints_by_peer: dict[str, set[str]] = {}
+        self._loaded_endpoints_by_peer: dict[str, set[str]] = {}
         self.prefixes = PrefixIndex()
         self.peers_long_load = 0.0
-        self._long_work = DemandMeter(self._started, _LONG_HALF_LIFE)
+        self._long_prefill_meter = DemandMeter(self._started_at, _LONG_LOAD_HALF_LIFE_SECONDS)
 
     def configure(self, configuration: Configuration) -> None:
         """Take over a new configuration; endpoints that stay keep their state."""
@@ -59,10 +59,12 @@
         known = self.states_by_name
         self.states_by_name = {}
         for endpoint in configuration.endpoints:
-            self.states_by_name[endpoint.name] = self._state(endpoint, known.get(endpoint.name))
+            self.states_by_name[endpoint.name] = self._get_or_create_state(
+                endpoint, known.get(endpoint.name)
+            )
         for name in known.keys() - self.states_by_name.keys():
             self.prefixes.forget(name)
-        self._index(configuration.endpoints)
+        self._index_by_target(configuration.endpoints)
         for model in configuration.models:
             if model.name not in self.estimates_by_model:
                 self.estimates_by_model[model.name] = ModelEstimate.of(model)
@@ -79,41 +81,43 @@
             random=self._random,
             settings=self._settings,
             long_load=self.long_load() + self.peers_long_load,
-            prefill_rate=_DEFAULT_PREFILL_RATE if estimate is None else estimate.prefill_rate,
+            prefill_rate=(
+                _DEFAULT_PREFILL_TOKENS_PER_SECOND if estimate is None else estimate.prefill_rate
+            ),
             prefix_blocks=self.prefixes.longest(work.blocks) if work.blocks else {},
         )
-        return self._policy(work.target).choose(work, candidates, context)
+        return self._policy_for(work.target).choose(work, candidates, context)
 
-    def note_arrival(self, work: Work) -> None:
+    def record_arrival(self, work: Work) -> None:
         """Learn how many engines the long prompts keep busy; it moves the pools' border."""
         estimate = self.estimates_by_model.get(work.target)
         if estimate is None or work.band is not LengthBand.LONG:
             return
         now = self._clock.monotonic()
-        self._long_work.add(estimate.prefill_seconds(work.prompt_tokens), now)
+        self._long_prefill_meter.add(estimate.prefill_seconds(work.prompt_tokens), now)
 
     def long_load(self) -> float:
         """Return the engines' worth of long prefill that arrives at this daemon."""
-        return self._long_work.rates(self._clock.monotonic())[1]
+        return self._long_prefill_meter.rates(self._clock.monotonic())[1]
 
-    def take_peer_load(self, daemon: str, endpoint: str, load: PeerLoad) -> None:
+    def set_peer_load(self, daemon: str, endpoint: str, load: PeerLoad) -> None:
         """Note what another daemon has in flight at an endpoint."""
         state = self.states_by_name.get(endpoint)
         if state is None:
             return
         state.peers_by_daemon[daemon] = load
-        self._endpoints_by_peer.setdefault(daemon, set()).add(endpoint)
+        self._loaded_endpoints_by_peer.setdefault(daemon, set()).add(endpoint)
 
-    def drop_peer_loads(self, daemon: str, still_loaded: set[str]) -> None:
+    def drop_stale_peer_loads(self, daemon: str, still_loaded: set[str]) -> None:
         """Forget a daemon's loads at endpoints where it has nothing in flight any more."""
-        loaded = self._endpoints_by_peer.get(daemon, set())
+        loaded = self._loaded_endpoints_by_peer.get(daemon, set())
         for endpoint in loaded - still_loaded:
             loaded.discard(endpoint)
             state = self.states_by_name.get(endpoint)
             if state is not None:
                 state.peers_by_daemon.pop(daemon, None)
 
-    def largest_memory(self, target: str) -> int:
+    def max_kv_tokens(self, target: str) -> int:
         """Return the memory of the largest engine for a target, in tokens."""
         states = self.states_by_target.get(target, [])
         return max((state.endpoint.kv_tokens for state in states), default=0)
@@ -128,7 +132,9 @@
             name for name, state in self.states_by_name.items() if not state.breaker.allows(now)
         ]
 
-    def _state(self, endpoint: Endpoint, known: EndpointState | None) -> EndpointState:
+    def _get_or_create_state(
+        self, endpoint: Endpoint, known: EndpointState | None
+    ) -> EndpointState:
         if known is not None and known.endpoint.url == endpoint.url:
             known.endpoint = endpoint
             return known
@@ -143,7 +149,7 @@
         first = not self.states_by_target
         return EndpointState(endpoint, float("-inf") if first else now)
 
-    def _index(self, endpoints: Iterable[Endpoint]) -> None:
+    def _index_by_target(self, endpoints: Iterable[Endpoint]) -> None:
         by_target: dict[str, list[EndpointState]] = {}
         for endpoint in endpoints:
             state = self.states_by_name[endpoint.name]
@@ -156,7 +162,7 @@
                 )
         self.states_by_target = by_target
 
-    def _policy(self, target: str) -> Policy:
+    def _policy_for(self, target: str) -> Policy:
         policy = self._policies_by_target.get(target)
         if policy is None:
             name = self._policy_override or self._settings.name
--- a/src/brassdrum/daemon/generation.py
+++ b/src/brassdrum/daemon/generation.py
@@ -96,7 +96,7 @@
         ending.ticket = ticket
         repeatable = generation.model in scope.contract.repeatable.models and scope.may_repeat
         ending.repeatable = repeatable
-        larger = generation.tokens > self._core.dispatcher.fleet.largest_memory(generation.model)
+        larger = generation.tokens > self._core.dispatcher.fleet.max_kv_tokens(generation.model)
         attempts = Attempts(
             self._core,
             scope,
--- a/src/brassdrum/daemon/sharing.py
+++ b/src/brassdrum/daemon/sharing.py
@@ -45,9 +45,9 @@
 
 
 def _take_loads(fleet: Fleet, entry: DaemonEntry, now: float) -> None:
-    fleet.drop_peer_loads(entry.name, {load.endpoint for load in entry.loads})
+    fleet.drop_stale_peer_loads(entry.name, {load.endpoint for load in entry.loads})
     for load in entry.loads:
-        fleet.take_peer_load(
+        fleet.set_peer_load(
             entry.name,
             load.endpoint,
             PeerLoad(now, load.streams, load.queued_tokens, load.long_prefills),
