--- a/features/steps/lending_steps.py
+++ b/features/steps/lending_steps.py
@@ -13,7 +13,7 @@
 from brassdrum.admission.limits import Allowance, LocalLimiter
 from brassdrum.caller import Caller
 from brassdrum.clock import ManualClock
-from brassdrum.daemon.endpoint_watch import HostWatch
+from brassdrum.daemon.endpoint_watch import HostListPoller
 from brassdrum.daemon.main import Daemon
 from brassdrum.logservice.hosts import Host
 from brassdrum.membership.peer_pb2 import READY, DaemonEntry
@@ -207,7 +207,7 @@
 
 
 def _watch(context, hosts):
-    return HostWatch(hosts, context.clock, lambda: SILENT_SECONDS)
+    return HostListPoller(hosts, context.clock, lambda: SILENT_SECONDS)
 
 
 @given("a daemon that has read a host list of three")
--- a/src/brassdrum/daemon/endpoint_watch.py
+++ b/src/brassdrum/daemon/endpoint_watch.py
@@ -15,14 +15,14 @@
 from brassdrum.logservice.hosts import Host, HostList
 from brassdrum.routing.state import LoadReport
 
-__all__ = ["EndpointWatch", "HostWatch"]
+__all__ = ["EndpointPoller", "HostListPoller"]
 
 _logger = logging.getLogger(__name__)
 _POLL_THREADS = 8
 _EVENTS_LAG_SECONDS = 15.0
 
 
-class EndpointWatch:
+class EndpointPoller:
     """Poll the engines' reports and cache events."""
 
     def __init__(
@@ -116,7 +116,7 @@
     since: float
 
 
-class HostWatch:
+class HostListPoller:
     """Read the platform's host list; when it does not answer, the last list holds."""
 
     def __init__(self, hosts: HostList, clock: Clock, silent_seconds: Callable[[], float]) -> None:
--- a/src/brassdrum/daemon/main.py
+++ b/src/brassdrum/daemon/main.py
@@ -18,7 +18,7 @@
 from brassdrum.daemon.control import ControlState
 from brassdrum.daemon.core import Core
 from brassdrum.daemon.dispatcher import Dispatcher
-from brassdrum.daemon.endpoint_watch import EndpointWatch, HostWatch
+from brassdrum.daemon.endpoint_watch import EndpointPoller, HostListPoller
 from brassdrum.daemon.explanations import Explanations
 from brassdrum.daemon.fleet import Fleet
 from brassdrum.daemon.groups import Groups
@@ -94,7 +94,7 @@
         self._limits = LimitBook(
             settings.name, self._clock, self._clients, self._census, self._peer_address, self._cost
         )
-        self._hosts = HostWatch(
+        self._hosts = HostListPoller(
             HttpHostList(
                 settings.platform.url,
                 settings.platform.timeout_seconds,
@@ -111,7 +111,7 @@
             self._own_leaving,
             self._gossiped_leaving,
         )
-        self._endpoint_watch = EndpointWatch(self._dispatcher, self._clock, self._sharing.observed)
+        self._endpoint_watch = EndpointPoller(self._dispatcher, self._clock, self._sharing.observed)
         self.core = self._make_core()
         self._http = HttpServer(
             self._router_placeholder,
