--- a/src/brassdrum/daemon/core.py
+++ b/src/brassdrum/daemon/core.py
@@ -15,7 +15,7 @@
 from brassdrum.daemon.control import ControlState
 from brassdrum.daemon.dispatcher import Dispatcher
 from brassdrum.daemon.explanations import Explanations
-from brassdrum.daemon.groups import Groups
+from brassdrum.daemon.groups import GroupAllocator
 from brassdrum.daemon.limits import LimitBook
 from brassdrum.daemon.relay import Relay
 from brassdrum.daemon.watch import ExchangeWatchdog
@@ -97,7 +97,7 @@
     watchdog: ExchangeWatchdog
     cancels: Cancels
     relay: Relay
-    groups: Groups
+    groups: GroupAllocator
     explanations: Explanations
     metrics: Metrics
     tracing: Tracing
--- a/src/brassdrum/daemon/endpoint_watch.py
+++ b/src/brassdrum/daemon/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Learn the endpoints' load, cache events and departures."""
+"""Polling of engine load and cache events, and of the platform's host list."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 _logger = logging.getLogger(__name__)
 _POLL_THREADS = 8
-_EVENTS_LAG_SECONDS = 15.0
+_CACHE_EVENT_DELAY_SECONDS = 15.0
 
 
 class EndpointPoller:
-    """Poll the engines' reports and cache events."""
+    """Polls load reports and cache events of engines."""
 
     def __init__(
         self, dispatcher: Dispatcher, clock: Clock, observed: Callable[[], Callable[[str], bool]]
@@ -33,46 +33,51 @@
         self._clock = clock
         self._executor = ThreadPoolExecutor(_POLL_THREADS, thread_name_prefix="poll")
         self._last_event_by_endpoint: dict[str, int] = {}
-        self._busy_at_by_endpoint: dict[str, float] = {}
+        self._last_busy_by_endpoint: dict[str, float] = {}
         self._draining: set[str] = set()
 
     @property
     def draining(self) -> set[str]:
-        """Return the endpoints that say themselves that they are leaving."""
+        """Return the names of the endpoints that report that they are draining."""
         return set(self._draining)
 
     def step(self) -> None:
-        """Poll the engines that this daemon observes once, in random order."""
+        """Poll each engine that this daemon observes once, in random order."""
         engines = list(self._dispatcher.fleet.engines_by_name.values())
         random.shuffle(engines)
         known = self._dispatcher.fleet.states_by_name
         observed = self._observed()
-        mine = [item for item in engines if item.name in known and observed(item.name)]
-        list(self._executor.map(self._poll, mine))
+        assigned = [item for item in engines if item.name in known and observed(item.name)]
+        list(self._executor.map(self._poll, assigned))
         self._dispatcher.pump()
 
     def close(self) -> None:
-        """Stop polling."""
+        """Cancel pending polls and shut down the thread pool."""
         self._executor.shutdown(wait=False, cancel_futures=True)
 
     def _poll(self, engine: EngineClient) -> None:
         try:
             load = engine.load()
-            self._take_load(engine.name, load)
-            if self._busy_lately(engine.name, load):
-                self._take_events(engine)
+            self._update_report(engine.name, load)
+            if self._recently_busy(engine.name, load):
+                self._apply_cache_events(engine)
         except EndpointFailedError as error:
-            _logger.debug("no report", extra={"endpoint": engine.name, "reason": str(error)})
+            _logger.debug(
+                "cannot read engine load or cache events",
+                extra={"endpoint": engine.name, "reason": str(error)},
+            )
 
-    def _busy_lately(self, name: str, load: EngineLoad) -> bool:
-        """Return whether cache events may be on their way; an idle engine changes nothing."""
+    def _recently_busy(self, name: str, load: EngineLoad) -> bool:
+        """Return whether cache events may be pending; an idle engine emits none."""
         now = self._clock.monotonic()
         if load.streams or load.waiting:
-            self._busy_at_by_endpoint[name] = now
-        return now - self._busy_at_by_endpoint.get(name, float("-inf")) < _EVENTS_LAG_SECONDS
+            self._last_busy_by_endpoint[name] = now
+        return (
+            now - self._last_busy_by_endpoint.get(name, float("-inf")) < _CACHE_EVENT_DELAY_SECONDS
+        )
 
-    def _take_load(self, name: str, load: EngineLoad) -> None:
-        # The engine's clock may differ from ours: a report from the future counts as made now.
+    def _update_report(self, name: str, load: EngineLoad) -> None:
+        # Clocks may be skewed: a timestamp in the future is treated as the current time.
         age = max(0.0, self._clock.now().timestamp() - load.at)
         report = LoadReport(
             at=self._clock.monotonic() - age,
@@ -89,7 +94,7 @@
             if state is not None:
                 state.report = report
 
-    def _take_events(self, engine: EngineClient) -> None:
+    def _apply_cache_events(self, engine: EngineClient) -> None:
         last = self._last_event_by_endpoint.get(engine.name, 0)
         events = engine.cache_events(last)
         if not events:
@@ -109,43 +114,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Listed:
-    """Hold a host and since when it is on the list, on our clock."""
+class _ListedHost:
+    """A host and the local monotonic time at which it was first listed."""
 
     host: Host
     since: float
 
 
 class HostListPoller:
-    """Read the platform's host list; when it does not answer, the last list holds."""
+    """Polls the platform's host list and keeps the last one while the platform is unavailable."""
 
     def __init__(self, hosts: HostList, clock: Clock, silent_seconds: Callable[[], float]) -> None:
         self._hosts = hosts
         self._clock = clock
         self._silent_seconds = silent_seconds
-        self._listed: tuple[_Listed, ...] = ()
-        self.answers = False
-        self.read_once = False
+        self._listed: tuple[_ListedHost, ...] = ()
+        self.available = False
+        self.has_read = False
 
     def step(self) -> None:
-        """Read the list once."""
+        """Read the list once; log a warning on the first of consecutive failures."""
         try:
-            self._take(self._hosts.read())
+            self._update(self._hosts.read())
         except PlatformUnavailableError as error:
-            if self.answers:
-                _logger.warning("host list not readable", extra={"reason": str(error)})
-            self.answers = False
-
-    def _take(self, hosts: list[Host]) -> None:
-        # Those of the first list may have been silent for long: they count from the start.
-        now = self._clock.monotonic() if self.read_once else float("-inf")
+            if self.available:
+                _logger.warning(
+                    "cannot read the host list; using the last one", extra={"reason": str(error)}
+                )
+            self.available = False
+
+    def _update(self, hosts: list[Host]) -> None:
+        # Hosts on the first list may have been unreachable for any time, so they count at once.
+        now = self._clock.monotonic() if self.has_read else float("-inf")
         since_by_name = {each.host.name: each.since for each in self._listed}
-        self._listed = tuple(_Listed(host, since_by_name.get(host.name, now)) for host in hosts)
-        self.answers = True
-        self.read_once = True
+        self._listed = tuple(_ListedHost(host, since_by_name.get(host.name, now)) for host in hosts)
+        self.available = True
+        self.has_read = True
 
     def leaving_endpoints(self) -> set[str]:
-        """Return the endpoints that the list says are leaving."""
+        """Return the names of the endpoints that are listed as leaving."""
         return {
             each.host.name
             for each in self._listed
@@ -153,11 +160,11 @@
         }
 
     def daemon_names(self) -> list[str]:
-        """Return the daemons on the list that are not leaving and would have been heard by now.
+        """Return the names of daemons that are not leaving and were listed long enough to be heard.
 
-        One that was just listed has not been cut off: counted as such, each newcomer took its part
-        of every limit, a quarter among three, from those that serve. It takes no requests either
-        before it hears another daemon, or for as long as silence is borne.
+        A new daemon without a heartbeat must not count as partitioned: the serving daemons would
+        reserve a share of every limit for it. It accepts no requests until it has heard from
+        another daemon or the silence timeout has passed.
         """
         latest = self._clock.monotonic() - self._silent_seconds()
         return [
@@ -167,5 +174,5 @@
         ]
 
     def daemon_addresses(self) -> list[str]:
-        """Return the peer addresses of the daemons on the list."""
+        """Return the peer addresses of all listed daemons, including leaving ones."""
         return [each.host.peer_address for each in self._listed if each.host.role == "daemon"]
--- a/src/brassdrum/daemon/groups.py
+++ b/src/brassdrum/daemon/groups.py
@@ -1,4 +1,4 @@
-"""Reserve memory at several engines, all or none, and keep it while a request uses it."""
+"""All-or-nothing reservation of KV cache memory on several engines for one request."""
 
 from __future__ import annotations
 
@@ -15,122 +15,129 @@
 from brassdrum.errors import CallerDisconnectedError, DeadlineUnreachableError, PromptTooLongError
 from brassdrum.routing.groups import GroupPart, GroupPlan, can_ever_fit, plan_group
 
-__all__ = ["GroupReservation", "Groups"]
+__all__ = ["GroupAllocator", "GroupReservation"]
 
-_TERM_SECONDS = 15.0
-_LONGEST_PAUSE = 0.5
-_AGED_SHARE = 0.5
-_RETRY_SECONDS = 5.0
+_RESERVATION_TERM_SECONDS = 15.0
+_MAX_PAUSE_SECONDS = 0.5
+_HOLD_AFTER_FRACTION = 0.5
+_RETRY_AFTER_SECONDS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class GroupReservation:
-    """Hold the memory of a group; one id at all its engines."""
+    """Memory reserved on all engines of a group under one id."""
 
     id: str
     plan: GroupPlan
 
 
-class Groups:
-    """Find, reserve, renew and release groups of engines."""
+class GroupAllocator:
+    """Selects groups of engines and reserves, renews and releases their memory."""
 
     def __init__(self, dispatcher: Dispatcher, clock: Clock, owner: str) -> None:
         self._dispatcher = dispatcher
         self._clock = clock
         self._owner = owner
         self._lock = threading.Lock()
-        self._held_by_id: dict[str, GroupReservation] = {}
+        self._reservations_by_id: dict[str, GroupReservation] = {}
 
     def __len__(self) -> int:
-        return len(self._held_by_id)
+        return len(self._reservations_by_id)
 
     def place(
         self, work: Work, disconnected: Callable[[], bool]
     ) -> tuple[Placement, GroupReservation]:
-        """Wait until a whole group is reserved and return the place at its lead.
+        """Block until a whole group is reserved; return the placement on its lead engine.
 
-        All engines are asked in one order and all given back when one refuses. A request that has
-        waited half of its time keeps what it got while it asks for the rest: since everybody asks
-        in the same order, two such requests cannot wait for each other. Raises
-        ``PromptTooLongError``, ``DeadlineUnreachableError`` or ``CallerDisconnectedError``.
+        Engines are reserved in a global order, and all are released if one refuses. To prevent
+        starvation, a request that has waited for half of its time holds partial reservations while
+        it retries the rest; the global order rules out deadlocks. Raises ``PromptTooLongError``,
+        ``DeadlineUnreachableError`` or ``CallerDisconnectedError``.
         """
-        if not can_ever_fit(work.kv_tokens, self._states(work)):
-            raise PromptTooLongError("All endpoints together cannot hold this prompt.")
-        aged_at = work.arrived + _AGED_SHARE * (work.start_by - work.arrived)
+        if not can_ever_fit(work.kv_tokens, self._candidates(work)):
+            raise PromptTooLongError(
+                "The prompt does not fit in the memory of all endpoints together."
+            )
+        hold_from = work.arrived + _HOLD_AFTER_FRACTION * (work.start_by - work.arrived)
         while True:
             now = self._clock.monotonic()
             if now >= work.start_by:
                 raise DeadlineUnreachableError(
-                    "No group of endpoints had room in time.", retry_after=_RETRY_SECONDS
+                    "No group of endpoints had enough free memory in time.",
+                    retry_after=_RETRY_AFTER_SECONDS,
                 )
             if disconnected():
-                raise CallerDisconnectedError("The caller closed its connection in the queue.")
-            reservation = self._try(work, keep_until=work.start_by if now >= aged_at else now)
+                raise CallerDisconnectedError(
+                    "The caller disconnected while its request was queued."
+                )
+            reservation = self._try_reserve(
+                work, hold_until=work.start_by if now >= hold_from else now
+            )
             if reservation is not None:
                 return self._dispatcher.adopt(work, reservation.plan.lead), reservation
-            self._clock.sleep(random.uniform(0.0, _LONGEST_PAUSE))
+            self._clock.sleep(random.uniform(0.0, _MAX_PAUSE_SECONDS))
 
     def release(self, reservation: GroupReservation) -> None:
-        """Give a group's memory back; an engine that does not answer frees it by its term."""
+        """Release the memory of a group; on an unreachable engine the reservation expires."""
         with self._lock:
-            self._held_by_id.pop(reservation.id, None)
+            self._reservations_by_id.pop(reservation.id, None)
         for part in reservation.plan.parts:
-            self._engine(part).release(reservation.id)
-        self._account(reservation.plan, -1)
+            self._client_for(part).release(reservation.id)
+        self._adjust_reserved(reservation.plan, -1)
 
     def renew(self) -> None:
-        """Renew what is held; called several times a term."""
+        """Renew all reservations; must be called several times per term."""
         with self._lock:
-            held = list(self._held_by_id.values())
-        for reservation in held:
+            reservations = list(self._reservations_by_id.values())
+        for reservation in reservations:
             for part in reservation.plan.parts:
-                self._ask(reservation.id, part)
+                self._reserve(reservation.id, part)
 
     @staticmethod
-    def renew_pause() -> float:
-        """Return the seconds between renewals."""
-        return _TERM_SECONDS / 4
+    def renewal_interval() -> float:
+        """Return the time between renewals in seconds."""
+        return _RESERVATION_TERM_SECONDS / 4
 
-    def _try(self, work: Work, keep_until: float) -> GroupReservation | None:
+    def _try_reserve(self, work: Work, hold_until: float) -> GroupReservation | None:
         with self._dispatcher.lock:
-            plan = plan_group(work, self._states(work), self._clock.monotonic())
+            plan = plan_group(work, self._candidates(work), self._clock.monotonic())
         if plan is None:
             return None
         reservation = GroupReservation(str(uuid.uuid4()), plan)
-        got: list[GroupPart] = []
+        reserved: list[GroupPart] = []
         for part in plan.parts:
-            if not self._ask_until(reservation.id, part, got, keep_until):
-                for taken in got:
-                    self._engine(taken).release(reservation.id)
+            if not self._reserve_until(reservation.id, part, reserved, hold_until):
+                for other in reserved:
+                    self._client_for(other).release(reservation.id)
                 return None
-            got.append(part)
+            reserved.append(part)
         with self._lock:
-            self._held_by_id[reservation.id] = reservation
-        self._account(plan, 1)
+            self._reservations_by_id[reservation.id] = reservation
+        self._adjust_reserved(plan, 1)
         return reservation
 
-    def _ask_until(
-        self, reservation: str, part: GroupPart, got: list[GroupPart], keep_until: float
+    def _reserve_until(
+        self, reservation_id: str, part: GroupPart, reserved: list[GroupPart], hold_until: float
     ) -> bool:
-        while not self._ask(reservation, part):
-            if self._clock.monotonic() >= keep_until:
+        while not self._reserve(reservation_id, part):
+            if self._clock.monotonic() >= hold_until:
                 return False
-            for taken in got:
-                self._ask(reservation, taken)
-            self._clock.sleep(random.uniform(0.0, _LONGEST_PAUSE))
+            for other in reserved:
+                self._reserve(reservation_id, other)
+            self._clock.sleep(random.uniform(0.0, _MAX_PAUSE_SECONDS))
         return True
 
-    def _ask(self, reservation: str, part: GroupPart) -> bool:
-        engine = self._engine(part)
-        return engine.reserve(reservation, self._owner, part.tokens, _TERM_SECONDS)
+    def _reserve(self, reservation_id: str, part: GroupPart) -> bool:
+        engine = self._client_for(part)
+        return engine.reserve(reservation_id, self._owner, part.tokens, _RESERVATION_TERM_SECONDS)
 
-    def _engine(self, part: GroupPart) -> EngineClient:
+    def _client_for(self, part: GroupPart) -> EngineClient:
         return self._dispatcher.fleet.engines_by_name[part.endpoint]
 
-    def _states(self, work: Work):
+    def _candidates(self, work: Work):
         return self._dispatcher.fleet.states_by_target.get(work.target, [])
 
-    def _account(self, plan: GroupPlan, sign: int) -> None:
+    def _adjust_reserved(self, plan: GroupPlan, sign: int) -> None:
         with self._dispatcher.lock:
             for part in plan.parts:
                 state = self._dispatcher.fleet.states_by_name.get(part.endpoint)
--- a/src/brassdrum/daemon/main.py
+++ b/src/brassdrum/daemon/main.py
@@ -21,7 +21,7 @@
 from brassdrum.daemon.endpoint_watch import EndpointPoller, HostListPoller
 from brassdrum.daemon.explanations import Explanations
 from brassdrum.daemon.fleet import Fleet
-from brassdrum.daemon.groups import Groups
+from brassdrum.daemon.groups import GroupAllocator
 from brassdrum.daemon.limits import LimitBook
 from brassdrum.daemon.relay import Relay
 from brassdrum.daemon.routes import make_router
@@ -111,7 +111,9 @@
             self._own_leaving,
             self._gossiped_leaving,
         )
-        self._endpoint_watch = EndpointPoller(self._dispatcher, self._clock, self._sharing.observed)
+        self._endpoint_poller = EndpointPoller(
+            self._dispatcher, self._clock, self._sharing.observed
+        )
         self.core = self._make_core()
         self._http = HttpServer(
             self._router_placeholder,
@@ -173,7 +175,7 @@
             newest = self.gossip.table.newest_revision(now)
         if newest > self._control.revision:
             return f"a peer holds revision {newest}; this daemon {self._control.revision}"
-        if newest < 0 and not self._hosts.read_once and self._age() < _LONELY_SECONDS:
+        if newest < 0 and not self._hosts.has_read and self._age() < _LONELY_SECONDS:
             return "neither the host list nor a peer has been heard yet"
         if self._alone(now):
             return "no other daemon on the host list has been heard yet"
@@ -235,10 +237,10 @@
         loops.every("gossip", self.gossip.pause, self.gossip.step)
         loops.every("limits", lambda: settings.gossip_seconds, self._limits.borrow)
         loops.every("hosts", self._hosts_pause, self._read_hosts)
-        loops.every("endpoints", lambda: settings.poll_seconds, self._endpoint_watch.step)
+        loops.every("endpoints", lambda: settings.poll_seconds, self._endpoint_poller.step)
         loops.every("leaving", lambda: settings.poll_seconds / 2, self._sharing.mark_leaving)
         loops.every("watch", self._watch_pause, self.core.watchdog.step)
-        loops.every("groups", self.core.groups.renew_pause, self.core.groups.renew)
+        loops.every("groups", self.core.groups.renewal_interval, self.core.groups.renew)
         loops.every("cancels", lambda: 0.0, self.core.cancels.step)
         loops.every("tick", self._tick_pause, self._dispatcher.pump)
         loops.every("duty", lambda: settings.lease_seconds / 10, self._duty.step)
@@ -270,7 +272,7 @@
             parts.callback(self.core.metrics.close)
             parts.callback(self.core.tracing.close)
             parts.callback(self._clients.close)
-            parts.callback(self._endpoint_watch.close)
+            parts.callback(self._endpoint_poller.close)
             parts.callback(self._loops.stop, timeout=_LOOPS_SECONDS)
             parts.callback(self._peer_server.close)
             parts.callback(self.core.relay.close)
@@ -290,7 +292,7 @@
             watchdog=ExchangeWatchdog(self._clock),
             cancels=Cancels(self._clock),
             relay=Relay(self._clock),
-            groups=Groups(self._dispatcher, self._clock, settings.name),
+            groups=GroupAllocator(self._dispatcher, self._clock, settings.name),
             explanations=Explanations(self._clock),
             metrics=Metrics(settings.name),
             tracing=Tracing(settings.telemetry, settings.name),
@@ -337,7 +339,7 @@
         self.core.guard.merge_entries(newer)
 
     def _own_leaving(self) -> set[str]:
-        return self._hosts.leaving_endpoints() | self._endpoint_watch.draining
+        return self._hosts.leaving_endpoints() | self._endpoint_poller.draining
 
     def _gossiped_leaving(self) -> set[str]:
         with self.gossip.lock:
