--- a/features/steps/lending_steps.py
+++ b/features/steps/lending_steps.py
@@ -329,14 +329,14 @@
 def step_not_ready(context):
     hears, waits = context.late
     for daemon in context.late:
-        assert daemon._first_ready() is not None
+        assert daemon._check_startup() is not None
     entry = DaemonEntry(name="silent", incarnation=1, version=1, state=READY, peer_address="a")
     entry.revision = -1
     hears.gossip.table.merge([entry], context.clock.monotonic())
-    assert hears._first_ready() is None
-    assert waits._first_ready() is not None
+    assert hears._check_startup() is None
+    assert waits._check_startup() is not None
     context.clock.advance(waits.gossip.table.silent_seconds)
-    assert waits._first_ready() is None
+    assert waits._check_startup() is None
 
 
 USES = st.lists(
--- a/features/steps/property_steps.py
+++ b/features/steps/property_steps.py
@@ -220,7 +220,7 @@
         state = LEAVING if name == "d0" else READY
         entry = DaemonEntry(name=name, incarnation=1, version=1, state=state, peer_address="a")
         table.merge([entry], 0.0)
-    own = mock.Mock(_serving=lambda: ["d1", "d2", "d3"], gossip=mock.Mock(table=table))
+    own = mock.Mock(_serving_daemons=lambda: ["d1", "d2", "d3"], gossip=mock.Mock(table=table))
     own.gossip.lock = threading.Lock()
     own._hosts.daemon_names = lambda: names
     census = Daemon._census(own)
@@ -600,7 +600,7 @@
     for trigger in triggers:
         before = daemon._state
         try:
-            Daemon._follow(daemon, trigger)
+            Daemon._transition(daemon, trigger)
         except OutsideChartError:
             pass
         yield before, trigger, daemon._state
--- a/src/brassdrum/daemon/main.py
+++ b/src/brassdrum/daemon/main.py
@@ -49,16 +49,16 @@
 _logger = logging.getLogger(__name__)
 _CHART = load_chart("daemon")
 _CHECKPOINT_DUTY = "checkpoint"
-_DEFAULT_WINDOW_SECONDS = 3600.0
-_RETRY_SHARE = 0.1
-_WATCH_SECONDS = 0.2
-_TICK_SECONDS = 0.05
-_IDLE_SECONDS = 0.5
-_HOST_READERS_PER_POLL = 8
-_FLUSH_SECONDS = 5.0
-_LONELY_SECONDS = 5.0
+_DEFAULT_IDEMPOTENCY_WINDOW_SECONDS = 3600.0
+_RETRY_RATIO = 0.1
+_WATCHDOG_INTERVAL_SECONDS = 0.2
+_DISPATCH_INTERVAL_SECONDS = 0.05
+_IDLE_INTERVAL_SECONDS = 0.5
+_HOST_LIST_READERS_PER_INTERVAL = 8
+_FLUSH_TIMEOUT_SECONDS = 5.0
+_FIRST_CONTACT_TIMEOUT_SECONDS = 5.0
 # Loops that wait for a neighbour are not waited for: they end by themselves after their timeout.
-_LOOPS_SECONDS = 0.1
+_LOOP_STOP_TIMEOUT_SECONDS = 0.1
 
 
 class Daemon:
@@ -79,10 +79,10 @@
         self._peer_server = PeerServer(settings.peer.host, settings.peer.port)
         self._state = _CHART.initial
         self._state_lock = threading.Lock()
-        self._made_at = self._clock.monotonic()
+        self._created_at = self._clock.monotonic()
         self._control = ControlState(self._log, self._clock, self._peer_snapshots, self._configure)
         self._claims = ShardedClaims(
-            self._log, CLAIM_SHARDS, settings.name, self._clock, _DEFAULT_WINDOW_SECONDS
+            self._log, CLAIM_SHARDS, settings.name, self._clock, _DEFAULT_IDEMPOTENCY_WINDOW_SECONDS
         )
         self._dispatcher = Dispatcher(
             self._clock,
@@ -107,16 +107,16 @@
             settings.name,
             self._dispatcher,
             self._clock,
-            self._serving,
-            self._own_leaving,
-            self._gossiped_leaving,
+            self._serving_daemons,
+            self._known_leaving_endpoints,
+            self._gossiped_leaving_endpoints,
         )
         self._endpoint_poller = EndpointPoller(
             self._dispatcher, self._clock, self._sharing.observed
         )
         self.core = self._make_core()
         self._http = HttpServer(
-            self._router_placeholder,
+            self._route,
             settings.http.host,
             settings.http.port,
             settings.threads,
@@ -127,8 +127,8 @@
             self._clients,
             self._clock,
             self._seeds,
-            self._describe,
-            self._merged,
+            self._fill_own_entry,
+            self._apply_merged_entries,
             self._cost,
         )
         self._router = make_router(self.core, self.gossip, self.not_ready)
@@ -167,17 +167,21 @@
         reason = self._control.not_ready()
         if reason is not None:
             return reason
-        return self._first_ready() if self._state == _CHART.initial else None
+        return self._check_startup() if self._state == _CHART.initial else None
 
-    def _first_ready(self) -> str | None:
+    def _check_startup(self) -> str | None:
         now = self._clock.monotonic()
         with self.gossip.lock:
             newest = self.gossip.table.newest_revision(now)
         if newest > self._control.revision:
             return f"a peer holds revision {newest}; this daemon {self._control.revision}"
-        if newest < 0 and not self._hosts.has_read and self._age() < _LONELY_SECONDS:
+        if (
+            newest < 0
+            and not self._hosts.has_read
+            and self._uptime() < _FIRST_CONTACT_TIMEOUT_SECONDS
+        ):
             return "neither the host list nor a peer has been heard yet"
-        if self._alone(now):
+        if self._is_isolated(now):
             return "no other daemon on the host list has been heard yet"
         # What is leaving has to be known before the first request, not at the next round.
         self._sharing.mark_leaving()
@@ -186,7 +190,7 @@
                 self._state = _CHART.next(self._state, "become_ready")
         return None
 
-    def _alone(self, now: float) -> bool:
+    def _is_isolated(self, now: float) -> bool:
         """Return whether others are listed and none was heard, while that may be our own start.
 
         The others do not yet count us as cut off: to lend ourselves a part of the limits now would
@@ -195,29 +199,31 @@
         others = set(self._hosts.daemon_names()) - {self.settings.name}
         with self.gossip.lock:
             table = self.gossip.table
-            return bool(others and not table.live_peers(now) and self._age() < table.silent_seconds)
+            return bool(
+                others and not table.live_peers(now) and self._uptime() < table.silent_seconds
+            )
 
     def _read_hosts(self) -> None:
         self._hosts.step()
         self._sharing.mark_leaving()
 
-    def _hosts_pause(self) -> float:
+    def _host_list_interval(self) -> float:
         """Return a pause that grows with the fleet: any one reader tells the others by gossip."""
         base = self.settings.poll_seconds
-        return base * max(1.0, len(self._serving()) / _HOST_READERS_PER_POLL)
+        return base * max(1.0, len(self._serving_daemons()) / _HOST_LIST_READERS_PER_INTERVAL)
 
-    def _watch_pause(self) -> float:
-        return _WATCH_SECONDS if len(self.core.watchdog) else _IDLE_SECONDS
+    def _watchdog_interval(self) -> float:
+        return _WATCHDOG_INTERVAL_SECONDS if len(self.core.watchdog) else _IDLE_INTERVAL_SECONDS
 
-    def _tick_pause(self) -> float:
-        return _TICK_SECONDS if len(self._dispatcher.queue) else _IDLE_SECONDS
+    def _dispatch_interval(self) -> float:
+        return _DISPATCH_INTERVAL_SECONDS if len(self._dispatcher.queue) else _IDLE_INTERVAL_SECONDS
 
-    def _follow(self, trigger: str) -> None:
+    def _transition(self, trigger: str) -> None:
         with self._state_lock:
             self._state = _CHART.next(self._state, trigger)
 
-    def _age(self) -> float:
-        return self._clock.monotonic() - self._made_at
+    def _uptime(self) -> float:
+        return self._clock.monotonic() - self._created_at
 
     def slices_lent(self, organisation: str) -> dict[str, Allowance]:
         """Return what this daemon, as the lender of an organisation's limits, lends to whom."""
@@ -236,22 +242,22 @@
             loops.every("appender", lambda: 0.0, shard.appender.step)
         loops.every("gossip", self.gossip.pause, self.gossip.step)
         loops.every("limits", lambda: settings.gossip_seconds, self._limits.borrow)
-        loops.every("hosts", self._hosts_pause, self._read_hosts)
+        loops.every("hosts", self._host_list_interval, self._read_hosts)
         loops.every("endpoints", lambda: settings.poll_seconds, self._endpoint_poller.step)
         loops.every("leaving", lambda: settings.poll_seconds / 2, self._sharing.mark_leaving)
-        loops.every("watch", self._watch_pause, self.core.watchdog.step)
+        loops.every("watch", self._watchdog_interval, self.core.watchdog.step)
         loops.every("groups", self.core.groups.renewal_interval, self.core.groups.renew)
         loops.every("cancels", lambda: 0.0, self.core.cancels.step)
-        loops.every("tick", self._tick_pause, self._dispatcher.pump)
+        loops.every("tick", self._dispatch_interval, self._dispatcher.pump)
         loops.every("duty", lambda: settings.lease_seconds / 10, self._duty.step)
         loops.every("checkpoint", lambda: settings.lease_seconds / 5, self._checkpoints.step)
         _logger.info("daemon started", extra={"http": self.url, "peer": self.peer_address})
 
     def stop(self) -> None:
         """Stop gracefully: the balancer notices first, then every request ends."""
-        self._leave()
+        self._announce_leaving()
         self._clock.sleep(self.settings.shutdown.notice_seconds)
-        self._follow("drain")
+        self._transition("drain")
         self.core.stopping.set()
         if not self.core.active.wait_idle(self.settings.shutdown.drain_seconds):
             _logger.warning(
@@ -259,21 +265,21 @@
             )
         self._duty.release()
         self._limits.give_back()
-        self._flush()
+        self._flush_claims()
         self.close()
 
     def close(self) -> None:
         """Stop at once."""
         if self._state == "stopped":
             return
-        self._follow("stop")
+        self._transition("stop")
         with ExitStack() as parts:
             # All are closed even if one of them fails: a loop that goes on keeps the process.
             parts.callback(self.core.metrics.close)
             parts.callback(self.core.tracing.close)
             parts.callback(self._clients.close)
             parts.callback(self._endpoint_poller.close)
-            parts.callback(self._loops.stop, timeout=_LOOPS_SECONDS)
+            parts.callback(self._loops.stop, timeout=_LOOP_STOP_TIMEOUT_SECONDS)
             parts.callback(self._peer_server.close)
             parts.callback(self.core.relay.close)
             parts.callback(self._http.close)
@@ -296,12 +302,12 @@
             explanations=Explanations(self._clock),
             metrics=Metrics(settings.name),
             tracing=Tracing(settings.telemetry, settings.name),
-            retry_budget=RetryBudget(_RETRY_SHARE),
+            retry_budget=RetryBudget(_RETRY_RATIO),
             cost=self._cost,
             guard=ContentGuard(self._clock),
         )
 
-    def _router_placeholder(self, environ, start_response):
+    def _route(self, environ, start_response):
         # The server is made first, because gossip tells others the port that it got.
         return self._router(environ, start_response)
 
@@ -323,7 +329,7 @@
             through=-1,
         )
 
-    def _describe(self, entry: DaemonEntry) -> None:
+    def _fill_own_entry(self, entry: DaemonEntry) -> None:
         entry.revision = self._control.revision
         entry.through = self._control.through
         if entry.state != LEAVING:
@@ -331,26 +337,26 @@
         self._sharing.describe(entry)
         self.core.guard.fill_entry(entry)
 
-    def _merged(self, newer: list[DaemonEntry]) -> None:
+    def _apply_merged_entries(self, newer: list[DaemonEntry]) -> None:
         with self.gossip.lock:
             live = self.gossip.table.live_peers(self._clock.monotonic())
             long_loads = [record.entry.long_load for record in live]
         self._sharing.take(newer, long_loads)
         self.core.guard.merge_entries(newer)
 
-    def _own_leaving(self) -> set[str]:
+    def _known_leaving_endpoints(self) -> set[str]:
         return self._hosts.leaving_endpoints() | self._endpoint_poller.draining
 
-    def _gossiped_leaving(self) -> set[str]:
+    def _gossiped_leaving_endpoints(self) -> set[str]:
         with self.gossip.lock:
             return self.gossip.table.leaving_endpoints(self._clock.monotonic())
 
-    def _serving(self) -> list[str]:
+    def _serving_daemons(self) -> list[str]:
         with self.gossip.lock:
             return self.gossip.table.serving(self._clock.monotonic())
 
     def _census(self) -> Census:
-        live = self._serving()
+        live = self._serving_daemons()
         with self.gossip.lock:
             left = self.gossip.table.left()
         # A daemon that leaves by plan is not cut off: what it still uses is counted as lent to it.
@@ -377,14 +383,14 @@
         lease = self._control.with_fold(lambda fold: fold.leases.get(_CHECKPOINT_DUTY))
         return lease if isinstance(lease, Lease) else None
 
-    def _leave(self) -> None:
+    def _announce_leaving(self) -> None:
         _logger.info("daemon leaving", extra={"active": len(self.core.active)})
-        self._follow("leave")
+        self._transition("leave")
         with self.gossip.lock:
             self.gossip.table.own.state = LEAVING
 
-    def _flush(self) -> None:
-        limit = self._clock.monotonic() + _FLUSH_SECONDS
+    def _flush_claims(self) -> None:
+        limit = self._clock.monotonic() + _FLUSH_TIMEOUT_SECONDS
         for shard in self._claims.shards:
             while shard.appender.unwritten and self._clock.monotonic() < limit:
                 self._clock.sleep(0.05)
