--- a/src/brassdrum/daemon/calls.py
+++ b/src/brassdrum/daemon/calls.py
@@ -8,7 +8,7 @@
 from brassdrum.contracts.documents import Service
 from brassdrum.daemon.attempts import Attempts
 from brassdrum.daemon.claiming import claim, replay
-from brassdrum.daemon.core import Core, Scope, content_of
+from brassdrum.daemon.core import Core, Scope, request_fingerprint
 from brassdrum.daemon.dispatcher import Placement
 from brassdrum.daemon.finishing import Ending, handle
 from brassdrum.endpoints.service import ServiceAnswer, ServiceCallRequest
@@ -48,7 +48,7 @@
 
     def _run(self, scope: Scope, ending: Ending) -> Response:
         body = scope.request.body()
-        content = content_of(scope, body)
+        content = request_fingerprint(scope, body)
         self._core.guard.check(content)
         name = scope.request.parameters["service"]
         path = "/" + scope.request.parameters["path"]
@@ -62,7 +62,7 @@
             ending.succeeded(None)
             return replay(ticket)
         ending.ticket = ticket
-        ending.repeatable = scope.may_repeat and is_repeatable(service, scope.request.method, path)
+        ending.repeatable = scope.repeatable and is_repeatable(service, scope.request.method, path)
         attempts = Attempts(self._core, scope, content, repeatable=ending.repeatable)
         answer = attempts.run(work, lambda placement: self._send(scope, placement, path, body))
         self._core.guard.record_served(content)
--- a/src/brassdrum/daemon/core.py
+++ b/src/brassdrum/daemon/core.py
@@ -30,10 +30,10 @@
 from brassdrum.telemetry.traces import RequestTrace, Tracing
 from brassdrum.wsgi import Request
 
-__all__ = ["ActiveRequests", "Core", "Scope", "content_of"]
+__all__ = ["ActiveRequests", "Core", "Scope", "request_fingerprint"]
 
-_LONGEST_KEY = 255
-_LONGEST_ID = 128
+_MAX_IDEMPOTENCY_KEY_LENGTH = 255
+_MAX_REQUEST_ID_LENGTH = 128
 
 
 class ActiveRequests:
@@ -75,7 +75,7 @@
     arrived: float
     deadline: float
     idempotency_key: str | None
-    may_repeat: bool
+    repeatable: bool
 
     @property
     def organisation(self) -> str:
@@ -116,9 +116,9 @@
         view = self.control.view
         if view is None or self.stopping.is_set():
             raise NotReadyError("This daemon takes no new work.", retry_after=1.0)
-        contract = self._contract(request, view)
+        contract = self._authenticate(request, view)
         arrived = self.clock.monotonic()
-        seconds = _seconds(request, contract)
+        seconds = _timeout_seconds(request, contract)
         trace = self.tracing.request(name, _trace_headers(request))
         request_id = _request_id(request, self.clock)
         trace.set("brassdrum.request_id", request_id)
@@ -132,7 +132,7 @@
             arrived=arrived,
             deadline=arrived + seconds,
             idempotency_key=_idempotency_key(request),
-            may_repeat=request.header("Brassdrum-Repeatable") != "false",
+            repeatable=request.header("Brassdrum-Repeatable") != "false",
         )
 
     def wall_time(self, monotonic: float) -> float:
@@ -144,8 +144,8 @@
         return f"{self.settings.name}-{uuid.uuid4().hex}"
 
     @staticmethod
-    def _contract(request: Request, view: FleetView) -> Contract:
-        secret = _secret(request)
+    def _authenticate(request: Request, view: FleetView) -> Contract:
+        secret = _api_key(request)
         if secret is None:
             raise UnknownKeyError("The request carries no API key.")
         owner = view.keys.find(secret)
@@ -154,7 +154,7 @@
         return view.contracts_by_organisation[owner.organisation]
 
 
-def _secret(request: Request) -> str | None:
+def _api_key(request: Request) -> str | None:
     value = request.header("Authorization") or ""
     scheme, _, secret = value.partition(" ")
     if scheme.lower() != "bearer" or not secret:
@@ -162,7 +162,7 @@
     return secret.strip()
 
 
-def _seconds(request: Request, contract: Contract) -> float:
+def _timeout_seconds(request: Request, contract: Contract) -> float:
     longest = contract.longest_wait_seconds + contract.longest_run_seconds
     value = request.header("Brassdrum-Timeout")
     if value is None:
@@ -178,7 +178,7 @@
     return min(longest, seconds)
 
 
-def content_of(scope: Scope, body: bytes) -> str:
+def request_fingerprint(scope: Scope, body: bytes) -> str:
     """Return the name of what a request asks for, whoever handles it."""
     request = scope.request
     return content_fingerprint(
@@ -190,7 +190,7 @@
     value = request.header("Brassdrum-Request-Id") or request.header("X-Request-Id")
     if value is None:
         return f"{round(clock.now().timestamp() * 1e6):x}-{uuid.uuid4().hex[:12]}"
-    if len(value) > _LONGEST_ID or not value.isprintable():
+    if len(value) > _MAX_REQUEST_ID_LENGTH or not value.isprintable():
         raise InvalidRequestError("The request id is longer than 128 characters or not printable.")
     return value
 
@@ -199,7 +199,7 @@
     value = request.header("Idempotency-Key")
     if value is None:
         return None
-    if not value or len(value) > _LONGEST_KEY or not value.isprintable():
+    if not value or len(value) > _MAX_IDEMPOTENCY_KEY_LENGTH or not value.isprintable():
         raise InvalidRequestError(
             "The Idempotency-Key is empty, over 255 characters or not printable."
         )
--- a/src/brassdrum/daemon/generation.py
+++ b/src/brassdrum/daemon/generation.py
@@ -10,7 +10,7 @@
 from brassdrum.daemon.attempts import Attempts
 from brassdrum.daemon.claiming import claim, replay
 from brassdrum.daemon.content_guard import ContentGuard
-from brassdrum.daemon.core import Core, Scope, content_of
+from brassdrum.daemon.core import Core, Scope, request_fingerprint
 from brassdrum.daemon.dispatcher import Placement
 from brassdrum.daemon.engine_run import EngineRun, RunTimes, StreamIdentity
 from brassdrum.daemon.finishing import Ending, handle
@@ -83,7 +83,7 @@
 
     def _run(self, scope: Scope, ending: Ending, *, chat: bool) -> Response:
         body = scope.request.body()
-        content = content_of(scope, body)
+        content = request_fingerprint(scope, body)
         self._core.guard.check(content)
         with scope.trace.hop("admission"):
             generation = self._parse(scope, body, chat=chat)
@@ -94,7 +94,7 @@
             ending.succeeded(None)
             return replay(ticket)
         ending.ticket = ticket
-        repeatable = generation.model in scope.contract.repeatable.models and scope.may_repeat
+        repeatable = generation.model in scope.contract.repeatable.models and scope.repeatable
         ending.repeatable = repeatable
         larger = generation.tokens > self._core.dispatcher.fleet.max_kv_tokens(generation.model)
         attempts = Attempts(
