--- a/features/steps/lending_steps.py
+++ b/features/steps/lending_steps.py
@@ -13,7 +13,7 @@
 from brassdrum.admission.limits import Allowance, LocalLimiter
 from brassdrum.caller import Caller
 from brassdrum.clock import ManualClock
-from brassdrum.daemon.endpoint_watch import HostWatch
+from brassdrum.daemon.endpoint_watch import HostListPoller
 from brassdrum.daemon.main import Daemon
 from brassdrum.logservice.hosts import Host
 from brassdrum.membership.peer_pb2 import READY, DaemonEntry
@@ -213,7 +213,7 @@
 
 
 def _watch(context, hosts):
-    return HostWatch(hosts, context.clock, lambda: SILENCE_TIMEOUT_SECONDS)
+    return HostListPoller(hosts, context.clock, lambda: SILENCE_TIMEOUT_SECONDS)
 
 
 @given("a daemon that has read a host list with three daemons")
@@ -335,14 +335,14 @@
 def step_not_ready(context):
     hears, waits = context.late
     for daemon in context.late:
-        assert daemon._first_ready() is not None
+        assert daemon._check_startup() is not None
     entry = DaemonEntry(name="silent", incarnation=1, version=1, state=READY, peer_address="a")
     entry.revision = -1
     hears.gossip.table.merge([entry], context.clock.monotonic())
-    assert hears._first_ready() is None
-    assert waits._first_ready() is not None
+    assert hears._check_startup() is None
+    assert waits._check_startup() is not None
     context.clock.advance(waits.gossip.table.silent_seconds)
-    assert waits._first_ready() is None
+    assert waits._check_startup() is None
 
 
 USES = st.lists(
--- a/src/brassdrum/daemon/attempts.py
+++ b/src/brassdrum/daemon/attempts.py
@@ -61,7 +61,7 @@
                 self._core.dispatcher.release(placement)
                 self._record_endpoint_result(placement, error)
                 if isinstance(error, EndpointEndedError):
-                    crash_id = self._core.guard.ended(
+                    crash_id = self._core.guard.record_crash(
                         self._content, placement.state.endpoint.name, placement.own.dispatched
                     )
                     self._own_crash_ids.add(crash_id)
@@ -71,7 +71,7 @@
                 self._core.dispatcher.release(placement)
                 raise
             placement.state.breaker.record_success()
-            self._core.guard.answered(placement.state.endpoint.name)
+            self._core.guard.record_response(placement.state.endpoint.name)
             return answer
 
     def _check_and_place(self, work: Work) -> Placement:
@@ -84,7 +84,7 @@
 
     def _avoid_busy_endpoints(self, work: Work) -> Work:
         """Avoid endpoints with other streams for a request suspected of crashing endpoints."""
-        if not self._core.guard.suspect(self._content, self._own_crash_ids):
+        if not self._core.guard.is_suspect(self._content, self._own_crash_ids):
             return work
         now = self._core.clock.monotonic()
         with self._core.dispatcher.lock:
--- a/src/brassdrum/daemon/calls.py
+++ b/src/brassdrum/daemon/calls.py
@@ -8,7 +8,7 @@
 from brassdrum.contracts.documents import Service
 from brassdrum.daemon.attempts import Attempts
 from brassdrum.daemon.claiming import claim, replay
-from brassdrum.daemon.core import Core, Scope, content_of
+from brassdrum.daemon.core import Core, Scope, request_fingerprint
 from brassdrum.daemon.dispatcher import Placement
 from brassdrum.daemon.finishing import RequestLifecycle, handle
 from brassdrum.endpoints.service import ServiceAnswer, ServiceCallRequest
@@ -48,7 +48,7 @@
 
     def _run(self, scope: Scope, lifecycle: RequestLifecycle) -> Response:
         body = scope.request.body()
-        content = content_of(scope, body)
+        content = request_fingerprint(scope, body)
         self._core.guard.check(content)
         name = scope.request.parameters["service"]
         path = "/" + scope.request.parameters["path"]
@@ -62,12 +62,12 @@
             lifecycle.succeeded(None)
             return replay(ticket)
         lifecycle.ticket = ticket
-        lifecycle.repeatable = scope.may_repeat and is_repeatable(
+        lifecycle.repeatable = scope.repeatable and is_repeatable(
             service, scope.request.method, path
         )
         attempts = Attempts(self._core, scope, content, repeatable=lifecycle.repeatable)
         answer = attempts.run(work, lambda placement: self._send(scope, placement, path, body))
-        self._core.guard.served(content)
+        self._core.guard.record_served(content)
         ticket.finish(answer.status, answer.content_type, answer.body)
         lifecycle.succeeded(None)
         return Response(
--- a/src/brassdrum/daemon/finishing.py
+++ b/src/brassdrum/daemon/finishing.py
@@ -37,7 +37,7 @@
     def admitted(self, work: Work) -> None:
         """Record that the request acquired its limits."""
         self._work = work
-        self._core.dispatcher.fleet.note_arrival(work)
+        self._core.dispatcher.fleet.record_arrival(work)
         self._core.explanations.add(
             self._scope.request_id,
             "admitted",
--- a/src/brassdrum/daemon/generation.py
+++ b/src/brassdrum/daemon/generation.py
@@ -10,7 +10,7 @@
 from brassdrum.daemon.attempts import Attempts
 from brassdrum.daemon.claiming import claim, replay
 from brassdrum.daemon.content_guard import ContentGuard
-from brassdrum.daemon.core import Core, Scope, content_of
+from brassdrum.daemon.core import Core, Scope, request_fingerprint
 from brassdrum.daemon.dispatcher import Placement
 from brassdrum.daemon.engine_run import EngineStreamReader, StreamIdentity, StreamTimeouts
 from brassdrum.daemon.finishing import RequestLifecycle, handle
@@ -83,7 +83,7 @@
 
     def _run(self, scope: Scope, lifecycle: RequestLifecycle, *, chat: bool) -> Response:
         body = scope.request.body()
-        content = content_of(scope, body)
+        content = request_fingerprint(scope, body)
         self._core.guard.check(content)
         with scope.trace.hop("admission"):
             generation = self._parse(scope, body, chat=chat)
@@ -94,9 +94,9 @@
             lifecycle.succeeded(None)
             return replay(ticket)
         lifecycle.ticket = ticket
-        repeatable = generation.model in scope.contract.repeatable.models and scope.may_repeat
+        repeatable = generation.model in scope.contract.repeatable.models and scope.repeatable
         lifecycle.repeatable = repeatable
-        needs_group = generation.tokens > self._core.dispatcher.fleet.largest_memory(
+        needs_group = generation.tokens > self._core.dispatcher.fleet.max_kv_tokens(
             generation.model
         )
         attempts = Attempts(
@@ -114,7 +114,7 @@
         answer = attempts.run(
             work, lambda placement: self._buffered(scope, generation, placement, lifecycle)
         )
-        self._core.guard.served(content)
+        self._core.guard.record_served(content)
         return answer
 
     def _parse(self, scope: Scope, body: bytes, *, chat: bool) -> GenerationRequest:
@@ -280,7 +280,7 @@
             StreamIdentity(stream, generation.model, generation.chat),
             lambda on_connected: engine.open(request, on_connected),
             clock=core.clock,
-            watch=core.watch,
+            watch=core.watchdog,
             cancels=core.cancels,
             times=StreamTimeouts(
                 deadline=scope.deadline,
@@ -338,7 +338,7 @@
 
     def finished(self) -> None:
         """Complete a request whose answer is complete."""
-        self._guard.served(self._content)
+        self._guard.record_served(self._content)
         self._release()
         replayable = self._replay_bytes <= _MAX_REPLAY_BYTES
         body = b"".join([*self._replay_chunks, DONE]) if replayable else None
@@ -348,7 +348,7 @@
     def failed(self, error: BrassdrumError) -> None:
         """Complete a request whose answer ended early with an error."""
         if isinstance(error, EndpointEndedError):
-            self._guard.ended(
+            self._guard.record_crash(
                 self._content,
                 self._placement.state.endpoint.name,
                 self._placement.own.dispatched,
--- a/src/brassdrum/daemon/resuming.py
+++ b/src/brassdrum/daemon/resuming.py
@@ -83,7 +83,7 @@
             identity,
             connect,
             clock=core.clock,
-            watch=core.watch,
+            watch=core.watchdog,
             cancels=core.cancels,
             times=StreamTimeouts(
                 deadline=deadline,
--- a/src/brassdrum/daemon/sharing.py
+++ b/src/brassdrum/daemon/sharing.py
@@ -47,9 +47,9 @@
 
 
 def _apply_loads(fleet: Fleet, entry: DaemonEntry, now: float) -> None:
-    fleet.drop_peer_loads(entry.name, {load.endpoint for load in entry.loads})
+    fleet.drop_stale_peer_loads(entry.name, {load.endpoint for load in entry.loads})
     for load in entry.loads:
-        fleet.take_peer_load(
+        fleet.set_peer_load(
             entry.name,
             load.endpoint,
             PeerLoad(now, load.streams, load.queued_tokens, load.long_prefills),
