--- a/src/brassdrum/gateway/guards/endings.py
+++ b/src/brassdrum/gateway/guards/endings.py
@@ -125,15 +125,15 @@
         self._timer = loop.call_later(_CHECK_SECONDS, lambda: self._finish(False))
         self._transport = Transport(loop, sock, self, connecting=True)
 
-    def connected(self) -> None:
+    def connection_made(self) -> None:
         """Learn that the endpoint takes connections."""
         self._finish(False)
 
-    def received(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         """Take bytes that nobody asked for: the endpoint lives."""
         self._finish(False)
 
-    def lost(self, error: OSError) -> None:
+    def connection_lost(self, error: OSError) -> None:
         """Learn that there is no connection, and why."""
         self._finish(error.errno == errno.ECONNREFUSED)
 
--- a/src/brassdrum/gateway/net/callers.py
+++ b/src/brassdrum/gateway/net/callers.py
@@ -177,10 +177,10 @@
         if not self.busy and not self._transport.closed:
             self._close()
 
-    def connected(self) -> None:
+    def connection_made(self) -> None:
         """Do nothing: accepted connections are already established."""
 
-    def received(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         """Handle data or EOF from the caller."""
         if not data and self._responding:
             self._handle_disconnect()
@@ -196,7 +196,7 @@
         if not self._responding:
             self._process_events()
 
-    def lost(self, _error: OSError) -> None:
+    def connection_lost(self, _error: OSError) -> None:
         """Handle a connection error."""
         self._handle_disconnect()
 
--- a/src/brassdrum/gateway/net/transport.py
+++ b/src/brassdrum/gateway/net/transport.py
@@ -16,13 +16,13 @@
 class TransportOwner(Protocol):
     """Callbacks for the events of a connection."""
 
-    def received(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         """Handle received data; empty data means that the peer has sent EOF."""
 
-    def lost(self, error: OSError) -> None:
+    def connection_lost(self, error: OSError) -> None:
         """Handle a connection error; the transport is already closed."""
 
-    def connected(self) -> None:
+    def connection_made(self) -> None:
         """Handle the establishment of an outgoing connection."""
 
 
@@ -110,7 +110,7 @@
             self._fail(OSError(code, "connect failed"))
             return
         self._connecting = False
-        self._owner.connected()
+        self._owner.connection_made()
         if not self.closed:
             self._flush()
 
@@ -137,10 +137,10 @@
         except OSError as error:
             self._fail(error)
             return
-        self._owner.received(data)
+        self._owner.data_received(data)
 
     def _fail(self, error: OSError) -> None:
         if self.closed:
             return
         self.close()
-        self._owner.lost(error)
+        self._owner.connection_lost(error)
--- a/src/brassdrum/gateway/net/upstream.py
+++ b/src/brassdrum/gateway/net/upstream.py
@@ -111,14 +111,14 @@
         self._stop_timer()
         self._transport.close()
 
-    def connected(self) -> None:
+    def connection_made(self) -> None:
         """Send the pending request."""
         self._stop_timer()
         self._established = True
         if self._call is not None:
             self._send_request()
 
-    def received(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         """Handle data or EOF from the endpoint."""
         if self._call is None:
             # Neither data nor EOF is expected on an idle connection.
@@ -130,7 +130,7 @@
         except h11.RemoteProtocolError as error:
             self._fail_call(str(error))
 
-    def lost(self, error: OSError) -> None:
+    def connection_lost(self, error: OSError) -> None:
         """Handle a connection error."""
         self._stop_timer()
         if self._call is None:
