--- a/features/steps/endpoint_list_steps.py
+++ b/features/steps/endpoint_list_steps.py
@@ -134,7 +134,7 @@
     context.knowledge = Knowledge()
     context.pool = EndpointPool(loop)
     context.forgotten = []
-    context.pool.forget = context.forgotten.append
+    context.pool.close_idle = context.forgotten.append
     guard = CrashGuard(loop, LoadTable())
     context.beliefs = Beliefs(loop, context.knowledge, context.pool, lambda: None, guard)
     context.knowledge.read([entry(1)], 90.0)
--- a/src/brassdrum/gateway/following/beliefs.py
+++ b/src/brassdrum/gateway/following/beliefs.py
@@ -69,7 +69,7 @@
         entry = self._knowledge.endpoints_by_id.get(endpoint)
         self._knowledge.address_reused(endpoint)
         if entry is not None:
-            self._pool.forget(entry.address)
+            self._pool.close_idle(entry.address)
             self._log_endpoint(EndpointChange(endpoint, entry.service, "gone"), "address reused")
 
     def told(self) -> PeerStatus:
@@ -128,7 +128,7 @@
         for change in changes:
             self._log_endpoint(change, source)
             if change.change == "restarted" and change.address is not None:
-                self._pool.forget(change.address)
+                self._pool.close_idle(change.address)
         self._suspicions.keep(set(self._knowledge.endpoints_by_id))
         self._on_changed()
 
--- a/src/brassdrum/gateway/measures.py
+++ b/src/brassdrum/gateway/measures.py
@@ -118,7 +118,9 @@
         self._gauge("peer_bytes", "Bytes of datagrams sent.", lambda: sources.peers.sent_bytes)
         self._gauge("quarantined", "Contents refused.", lambda: sources.guard.quarantined)
         self._gauge("store_calls", "Calls to the store.", lambda: sources.store.calls)
-        self._gauge("connections_opened", "Connections opened.", lambda: sources.pool.opened)
+        self._gauge(
+            "connections_opened", "Connections opened.", lambda: sources.pool.connections_opened
+        )
 
     def count_dropped_lines(self, dropped: Mapping[str, int]) -> None:
         """Show how many log lines were left out."""
--- a/src/brassdrum/gateway/net/upstream.py
+++ b/src/brassdrum/gateway/net/upstream.py
@@ -239,7 +239,7 @@
     def __init__(self, loop: EventLoop) -> None:
         self._loop = loop
         self._idle_by_address: dict[str, deque[EndpointConnection]] = defaultdict(deque)
-        self.opened = 0
+        self.connections_opened = 0
 
     def call(
         self, address: str, owner: CallOwner, request: OutgoingRequest, *, fresh: bool = False
@@ -250,7 +250,7 @@
         call.reused = connection is not None
         if connection is None:
             connection = EndpointConnection(self, self._loop, address)
-            self.opened += 1
+            self.connections_opened += 1
         if connection.failed:
             self._loop.post(lambda: owner.broken(CallFailure.NOT_SENT, "connect failed"))
             return call
@@ -277,7 +277,7 @@
         except ValueError:
             return  # Already removed.
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address that now belongs to another endpoint."""
         for connection in self._idle_by_address.pop(address, ()):
             connection.close()
