--- a/features/steps/endpoint_list_steps.py
+++ b/features/steps/endpoint_list_steps.py
@@ -140,7 +140,7 @@
     context.routing_state = RoutingState()
     context.pool = EndpointPool(loop)
     context.closed_addresses = []
-    context.pool.forget = context.closed_addresses.append
+    context.pool.close_idle = context.closed_addresses.append
     guard = CrashGuard(loop, LoadTable())
     context.monitor = EndpointMonitor(
         loop, context.routing_state, context.pool, lambda: None, guard
--- a/src/brassdrum/gateway/following/endpoint_monitor.py
+++ b/src/brassdrum/gateway/following/endpoint_monitor.py
@@ -69,7 +69,7 @@
         entry = self._routing_state.endpoints_by_id.get(endpoint)
         self._routing_state.address_reused(endpoint)
         if entry is not None:
-            self._pool.forget(entry.address)
+            self._pool.close_idle(entry.address)
             self._log_endpoint_change(
                 EndpointChange(endpoint, entry.service, "gone"), "address reused"
             )
@@ -132,7 +132,7 @@
         for change in changes:
             self._log_endpoint_change(change, source)
             if change.change == "restarted" and change.address is not None:
-                self._pool.forget(change.address)
+                self._pool.close_idle(change.address)
         self._failure_detector.retain(set(self._routing_state.endpoints_by_id))
         self._on_changed()
 
--- a/src/brassdrum/gateway/guards/endings.py
+++ b/src/brassdrum/gateway/guards/endings.py
@@ -125,15 +125,15 @@
         self._timer = loop.call_later(_PROBE_TIMEOUT_SECONDS, lambda: self._finish(False))
         self._transport = Transport(loop, sock, self, connecting=True)
 
-    def connected(self) -> None:
+    def connection_made(self) -> None:
         """Report that the endpoint is alive: it accepted the connection."""
         self._finish(False)
 
-    def received(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         """Report that the endpoint is alive: it sent unsolicited data."""
         self._finish(False)
 
-    def lost(self, error: OSError) -> None:
+    def connection_lost(self, error: OSError) -> None:
         """Report whether the failed connection was refused."""
         self._finish(error.errno == errno.ECONNREFUSED)
 
--- a/src/brassdrum/gateway/measures.py
+++ b/src/brassdrum/gateway/measures.py
@@ -120,7 +120,9 @@
         self._add_gauge("peer_bytes", "Bytes of datagrams sent.", lambda: sources.peers.sent_bytes)
         self._add_gauge("quarantined", "Contents refused.", lambda: sources.crash_guard.quarantined)
         self._add_gauge("store_calls", "Calls to the store.", lambda: sources.store.calls)
-        self._add_gauge("connections_opened", "Connections opened.", lambda: sources.pool.opened)
+        self._add_gauge(
+            "connections_opened", "Connections opened.", lambda: sources.pool.connections_opened
+        )
 
     def add_dropped_lines_gauge(self, dropped: Mapping[str, int]) -> None:
         """Add a gauge for the number of dropped log lines."""
--- a/src/brassdrum/gateway/net/upstream.py
+++ b/src/brassdrum/gateway/net/upstream.py
@@ -111,14 +111,14 @@
         self._stop_timer()
         self._transport.close()
 
-    def connected(self) -> None:
+    def connection_made(self) -> None:
         """Send the pending request."""
         self._stop_timer()
         self._established = True
         if self._call is not None:
             self._send_request()
 
-    def received(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         """Handle data or EOF from the endpoint."""
         if self._call is None:
             # Neither data nor EOF is expected on an idle connection.
@@ -130,7 +130,7 @@
         except h11.RemoteProtocolError as error:
             self._fail_call(str(error))
 
-    def lost(self, error: OSError) -> None:
+    def connection_lost(self, error: OSError) -> None:
         """Handle a connection error."""
         self._stop_timer()
         if self._call is None:
@@ -239,7 +239,7 @@
     def __init__(self, loop: EventLoop) -> None:
         self._loop = loop
         self._idle_by_address: dict[str, deque[EndpointConnection]] = defaultdict(deque)
-        self.opened = 0
+        self.connections_opened = 0
 
     def call(
         self, address: str, owner: CallOwner, request: OutgoingRequest, *, fresh: bool = False
@@ -250,7 +250,7 @@
         call.reused = connection is not None
         if connection is None:
             connection = EndpointConnection(self, self._loop, address)
-            self.opened += 1
+            self.connections_opened += 1
         if connection.failed:
             self._loop.post(lambda: owner.broken(CallFailure.NOT_SENT, "connect failed"))
             return call
@@ -277,7 +277,7 @@
         except ValueError:
             return  # Already removed.
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address that now belongs to another endpoint."""
         for connection in self._idle_by_address.pop(address, ()):
             connection.close()
