--- a/src/brassdrum/daemon/main.py
+++ b/src/brassdrum/daemon/main.py
@@ -175,7 +175,11 @@
             newest = self.gossip.table.newest_revision(now)
         if newest > self._control.revision:
             return f"a peer holds revision {newest}; this daemon {self._control.revision}"
-        if newest < 0 and not self._hosts.has_read and self._uptime() < _FIRST_CONTACT_TIMEOUT_SECONDS:
+        if (
+            newest < 0
+            and not self._hosts.has_read
+            and self._uptime() < _FIRST_CONTACT_TIMEOUT_SECONDS
+        ):
             return "neither the host list nor a peer has been heard yet"
         if self._is_isolated(now):
             return "no other daemon on the host list has been heard yet"
@@ -195,7 +199,9 @@
         others = set(self._hosts.daemon_names()) - {self.settings.name}
         with self.gossip.lock:
             table = self.gossip.table
-            return bool(others and not table.live_peers(now) and self._uptime() < table.silent_seconds)
+            return bool(
+                others and not table.live_peers(now) and self._uptime() < table.silent_seconds
+            )
 
     def _read_hosts(self) -> None:
         self._hosts.step()
