--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -144,7 +144,7 @@
 @given("a request whose first endpoint is unreachable")
 def step_unreachable(context):
     start_exchange(context)
-    context.fail = lambda: context.daemon.pool.calls[0].owner.broken(
+    context.fail = lambda: context.daemon.pool.calls[0].owner.call_failed(
         CallFailure.NOT_SENT, "connection refused"
     )
 
@@ -152,7 +152,7 @@
 @given("a request with a timeout of {timeout:g} s whose first endpoint is unreachable")
 def step_unreachable_with_timeout(context, timeout):
     start_exchange(context, timeout)
-    context.fail = lambda: context.daemon.pool.calls[0].owner.broken(
+    context.fail = lambda: context.daemon.pool.calls[0].owner.call_failed(
         CallFailure.NOT_SENT, "connection refused"
     )
 
@@ -161,7 +161,7 @@
 def step_not_executed(context):
     start_exchange(context)
     headers = [(b"X-Attempt-Id", b"a"), (b"X-Not-Executed", b"1")]
-    context.fail = lambda: context.daemon.pool.calls[0].owner.began(503, headers)
+    context.fail = lambda: context.daemon.pool.calls[0].owner.response_started(503, headers)
 
 
 @given("every other placement would delay other requests")
--- a/features/steps/turning_away_steps.py
+++ b/features/steps/turning_away_steps.py
@@ -119,7 +119,7 @@
 @when("the endpoint says that it did not run it")
 def step_turned_away(context):
     headers = [(b"X-Attempt-Id", b"a"), (b"X-Not-Executed", b"1")]
-    context.daemon.pool.calls[0].owner.began(503, headers)
+    context.daemon.pool.calls[0].owner.response_started(503, headers)
 
 
 @then("the endpoint is {believed}")
--- a/src/brassdrum/bench/load/daemon.py
+++ b/src/brassdrum/bench/load/daemon.py
@@ -100,8 +100,8 @@
 
         def event(number: int) -> None:
             if number == 1:
-                owner.began(200, [])
-            owner.data(b"id: %d\ndata: x\n\n" % (first + number - 1))
+                owner.response_started(200, [])
+            owner.response_data(b"id: %d\ndata: x\n\n" % (first + number - 1))
 
         helpers = [fleet.engine_by_id[each.address] for each in sending.sending.helpers]
         tokens_by_ticket = self._daemon.tokens_by_ticket
@@ -114,7 +114,7 @@
             declared.prompt_tokens,
             max(1, events - first + 1),
             event,
-            owner.answered,
+            owner.response_completed,
             helpers,
             stored,
         )
--- a/src/brassdrum/gateway/net/upstream.py
+++ b/src/brassdrum/gateway/net/upstream.py
@@ -50,18 +50,18 @@
 
 
 class CallOwner(Protocol):
-    """Callbacks for one call; ``answered`` or ``broken`` is the last."""
+    """Callbacks for one call; ``response_completed`` or ``call_failed`` is the last."""
 
-    def began(self, status: int, headers: Headers) -> None:
+    def response_started(self, status: int, headers: Headers) -> None:
         """Handle the status and headers of the response."""
 
-    def data(self, content: bytes) -> None:
+    def response_data(self, content: bytes) -> None:
         """Handle a chunk of the response body."""
 
-    def answered(self) -> None:
+    def response_completed(self) -> None:
         """Handle the end of a complete response."""
 
-    def broken(self, how: CallFailure, detail: str) -> None:
+    def call_failed(self, how: CallFailure, detail: str) -> None:
         """Handle a lost connection or an invalid response."""
 
 
@@ -159,10 +159,10 @@
                 return
             if isinstance(event, h11.Response):
                 self._apply_keep_alive(event)
-                self._call.began = True
-                self._call.owner.began(event.status_code, event.headers.raw_items())
+                self._call.response_started = True
+                self._call.owner.response_started(event.status_code, event.headers.raw_items())
             elif isinstance(event, h11.Data):
-                self._call.owner.data(bytes(event.data))
+                self._call.owner.response_data(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 self._complete_call()
             elif isinstance(event, h11.ConnectionClosed):
@@ -182,7 +182,7 @@
             self._pool.release(self)
         else:
             self._transport.close()
-        call.owner.answered()
+        call.owner.response_completed()
 
     def _apply_keep_alive(self, response: h11.Response) -> None:
         for name, value in response.headers:
@@ -204,11 +204,11 @@
         if call is None:
             return
         if not call.sent:
-            call.owner.broken(CallFailure.NOT_SENT, detail)
-        elif call.began:
-            call.owner.broken(CallFailure.ANSWER_CUT, detail)
+            call.owner.call_failed(CallFailure.NOT_SENT, detail)
+        elif call.response_started:
+            call.owner.call_failed(CallFailure.ANSWER_CUT, detail)
         else:
-            call.owner.broken(CallFailure.MAY_HAVE_RUN, detail)
+            call.owner.call_failed(CallFailure.MAY_HAVE_RUN, detail)
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
@@ -223,7 +223,7 @@
         self.owner = owner
         self.request = request
         self.sent = False
-        self.began = False
+        self.response_started = False
         self.reused = False
         self.connection: EndpointConnection | None = None
 
@@ -252,7 +252,7 @@
             connection = EndpointConnection(self, self._loop, address)
             self.connections_opened += 1
         if connection.failed:
-            self._loop.post(lambda: owner.broken(CallFailure.NOT_SENT, "connect failed"))
+            self._loop.post(lambda: owner.call_failed(CallFailure.NOT_SENT, "connect failed"))
             return call
         call.connection = connection
         if not fresh:
--- a/src/brassdrum/gateway/placing/reservations.py
+++ b/src/brassdrum/gateway/placing/reservations.py
@@ -51,18 +51,18 @@
         request = OutgoingRequest(b"GET", path.encode(), [(b"Host", address.encode())], b"")
         self._call = self._pool.call(address, self, request)
 
-    def began(self, status: int, _headers: Headers) -> None:
+    def response_started(self, status: int, _headers: Headers) -> None:
         """Take the start of the answer."""
         self._status = status
 
-    def data(self, _content: bytes) -> None:
+    def response_data(self, _content: bytes) -> None:
         """Leave the body: the status says all."""
 
-    def answered(self) -> None:
+    def response_completed(self) -> None:
         """Take a whole answer."""
         self._finish(self._status)
 
-    def broken(self, how: CallFailure, detail: str) -> None:
+    def call_failed(self, how: CallFailure, detail: str) -> None:
         """Take a broken connection as no answer."""
         _logger.info("order not answered", extra={"how": how.name, "detail": detail})
         self._finish(_NO_ANSWER)
--- a/src/brassdrum/gateway/request/attempt.py
+++ b/src/brassdrum/gateway/request/attempt.py
@@ -188,22 +188,22 @@
         self._context.table.end(self._load_key, self._context.loop.now())
         self._context.load_changed()
 
-    def began(self, status: int, headers: Headers) -> None:
+    def response_started(self, status: int, headers: Headers) -> None:
         """Handle the status and headers of the response."""
         self.reply = self._context.dialect.read_reply(self._owner.request, status, headers)
         self._owner.attempt_response_started(self, self.reply)
 
-    def data(self, content: bytes) -> None:
+    def response_data(self, content: bytes) -> None:
         """Handle a chunk of the response body."""
         if not self._finished:
             self._owner.attempt_response_data(self, content)
 
-    def answered(self) -> None:
+    def response_completed(self) -> None:
         """Handle the end of a complete response."""
         if not self._finished:
             self._owner.attempt_completed(self)
 
-    def broken(self, how: CallFailure, detail: str) -> None:
+    def call_failed(self, how: CallFailure, detail: str) -> None:
         """Handle a lost connection."""
         if not self._finished:
             self._owner.attempt_connection_lost(self, how, detail)
