--- a/features/steps/turning_away_steps.py
+++ b/features/steps/turning_away_steps.py
@@ -122,7 +122,7 @@
 @when("the endpoint reports that it did not run the request")
 def step_not_run(context):
     headers = [(b"X-Attempt-Id", b"a"), (b"X-Not-Executed", b"1")]
-    context.daemon.pool.calls[0].owner.began(503, headers)
+    context.daemon.pool.calls[0].owner.response_started(503, headers)
 
 
 @then("the endpoint is {state}")
--- a/src/brassdrum/gateway/placing/reservations.py
+++ b/src/brassdrum/gateway/placing/reservations.py
@@ -50,18 +50,18 @@
         request = OutgoingRequest(b"GET", path.encode(), [(b"Host", address.encode())], b"")
         self._call = self._pool.call(address, self, request)
 
-    def began(self, status: int, _headers: Headers) -> None:
+    def response_started(self, status: int, _headers: Headers) -> None:
         """Record the status of the answer."""
         self._status = status
 
-    def data(self, _content: bytes) -> None:
+    def response_data(self, _content: bytes) -> None:
         """Ignore the body; only the status matters."""
 
-    def answered(self) -> None:
+    def response_completed(self) -> None:
         """Report the status of a complete answer."""
         self._finish(self._status)
 
-    def broken(self, how: CallFailure, detail: str) -> None:
+    def call_failed(self, how: CallFailure, detail: str) -> None:
         """Report a broken connection as no answer."""
         _logger.info("reservation call not answered", extra={"how": how.name, "detail": detail})
         self._finish(_NO_ANSWER)
