--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -15,7 +15,7 @@
 from brassdrum.bench.load.loop import SimulatedLoop
 from brassdrum.clock import ManualClock
 from brassdrum.errors import BrassdrumError
-from brassdrum.gateway.following.endpoint_monitor import EndpointMonitor
+from brassdrum.gateway.following.beliefs import EndpointMonitor
 from brassdrum.gateway.following.follower import Follower, Snapshot
 from brassdrum.gateway.following.routing_state import RoutingState
 from brassdrum.gateway.guards.crash_guard import CrashGuard
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -14,7 +14,7 @@
 from brassdrum.charts import load_chart
 from brassdrum.clock import Clock, SystemClock
 from brassdrum.errors import BrassdrumError, InvalidDocumentError, InvalidRequestError
-from brassdrum.gateway.following.endpoint_monitor import EndpointMonitor
+from brassdrum.gateway.following.beliefs import EndpointMonitor
 from brassdrum.gateway.following.follower import KNOWLEDGE_PATH, Follower
 from brassdrum.gateway.following.routing_state import RoutingState
 from brassdrum.gateway.guards.crash_guard import CrashGuard
--- a/src/brassdrum/gateway/request/exchange_host.py
+++ b/src/brassdrum/gateway/request/exchange_host.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from brassdrum.gateway.following.endpoint_monitor import EndpointMonitor
+from brassdrum.gateway.following.beliefs import EndpointMonitor
 from brassdrum.gateway.following.routing_state import RoutingState
 from brassdrum.gateway.guards.crash_guard import CrashGuard
 from brassdrum.gateway.guards.endings import LostRequest
