--- a/src/brassdrum/daemon/__init__.py
+++ b/src/brassdrum/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""One daemon: its state, its loops and its HTTP application."""
+"""The daemon: state, background loops and HTTP application."""
--- a/src/brassdrum/daemon/routes.py
+++ b/src/brassdrum/daemon/routes.py
@@ -1,4 +1,4 @@
-"""Say which handler answers which path of a daemon."""
+"""URL routes of a daemon."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def make_router(core: Core, gossip: Gossip, not_ready: Callable[[], str | None]) -> Router:
-    """Return the router; ``not_ready`` says why the balancer shall not send requests, or None."""
+    """Return the router; ``not_ready`` returns the reason for not being ready, or None."""
     generation = GenerationHandler(core)
     services = ServiceHandler(core)
     admin = AdminHandler(core, gossip, not_ready)
     router = Router()
     router.add("POST", "/v1/completions", generation.completions)
     router.add("POST", "/v1/chat/completions", generation.chat)
-    router.add("GET", "/v1/models", lambda request: _models(core, request))
+    router.add("GET", "/v1/models", lambda request: _list_models(core, request))
     router.add("GET", "/v1/resume", ResumeHandler(core).handle)
     router.add("*", "/services/{service}/{path*}", services.handle)
     router.add("GET", "/-/health", admin.health)
@@ -36,7 +36,7 @@
     return router
 
 
-def _models(core: Core, request: Request) -> Response:
+def _list_models(core: Core, request: Request) -> Response:
     scope = core.scope(request, "caller")
     data = [
         {"id": name, "object": "model", "created": 0, "owned_by": "brassdrum"}
