--- a/src/brassdrum/daemon/watch.py
+++ b/src/brassdrum/daemon/watch.py
@@ -1,4 +1,4 @@
-"""End exchanges whose time is over, whose caller went away or that fell silent."""
+"""Watchdog that aborts exchanges on deadline, disconnection of the caller or silence."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AbortReason(StrEnum):
-    """Name why an exchange was ended from outside."""
+    """Reason for which the watchdog aborted an exchange."""
 
     DEADLINE = "deadline"
     DISCONNECTED = "disconnected"
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class WatchedExchange:
-    """Hold one exchange; ``silence_deadline`` moves with each event that arrives."""
+    """An exchange; ``silence_deadline`` is extended on each received event."""
 
     deadline: float
     silence_deadline: float
@@ -32,7 +32,7 @@
 
 
 class ExchangeWatchdog:
-    """Look at every exchange again and again; a blocked reader cannot do so itself."""
+    """Checks exchanges periodically, since a thread blocked in a read cannot do so itself."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -43,21 +43,21 @@
         return len(self._exchanges_by_id)
 
     def add(self, watched: WatchedExchange) -> None:
-        """Begin to watch."""
+        """Start watching an exchange."""
         with self._lock:
             self._exchanges_by_id[id(watched)] = watched
 
     def remove(self, watched: WatchedExchange) -> None:
-        """Stop watching."""
+        """Stop watching an exchange."""
         with self._lock:
             self._exchanges_by_id.pop(id(watched), None)
 
     def step(self) -> None:
-        """Abort what has to end."""
+        """Check all exchanges once and abort those that have to end."""
         now = self._clock.monotonic()
         with self._lock:
-            all_watched = list(self._exchanges_by_id.values())
-        for watched in all_watched:
+            exchanges = list(self._exchanges_by_id.values())
+        for watched in exchanges:
             if watched.reason is not None:
                 continue
             reason = _abort_reason(watched, now)
