--- a/src/brassdrum/daemon/content_guard.py
+++ b/src/brassdrum/daemon/content_guard.py
@@ -1,4 +1,4 @@
-"""Keep prompts and calls that end endpoints away from them; every method may run on any thread."""
+"""Thread-safe quarantine of request contents that crash endpoints."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 __all__ = ["ContentGuard"]
 
 _logger = logging.getLogger(__name__)
-# Rounds of gossip are seconds apart in large fleets (12.8 s at 320 daemons): news are told longer.
+# Several gossip rounds of a large fleet (12.8 s each with 320 daemons).
 _REPORT_SECONDS = 60.0
-# An endpoint keeps its name when it starts again. An end is named by it and the time of its first
-# sign, in steps of this, so that all daemons name it alike; it lasts until an answer comes.
+# A crash is keyed by the endpoint's name and the period in which it was detected, so that daemons
+# agree on the key although a restarted endpoint keeps its name.
 _CRASH_KEY_PERIOD_SECONDS = 2.0
-# Twice the endpoints of the largest fleet that is planned for.
+# Twice the number of endpoints in the largest supported fleet.
 _MAX_CRASH_KEYS = 1200
 _MS_PER_SECOND = 1000.0
 
 
 class ContentGuard:
-    """Decide on requests by what became of endpoints under their contents."""
+    """Decides on requests by the crashes at which their contents were in flight."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -36,36 +36,36 @@
         self._lock = threading.Lock()
         self._crash_key_by_endpoint: dict[str, int] = {}
 
-    def check(self, content: str, own_ends: Collection[int] = ()) -> None:
-        """Raise ``ContentQuarantinedError`` for a content that is refused; wait to be sure.
+    def check(self, content: str, own_crashes: Collection[int] = ()) -> None:
+        """Wait for pending reports, then raise ``ContentQuarantinedError`` if quarantined.
 
-        ``own_ends`` are those that ``ended`` named to this very request.
+        ``own_crashes`` are the crash keys that ``record_crash`` returned for the same request.
         """
         while True:
             with self._lock:
                 now = self._clock.monotonic()
-                standing = self._quarantine.status(content, now, own_ends)
-                wait = self._quarantine.seconds_until_decided(content, now, own_ends)
+                status = self._quarantine.status(content, now, own_crashes)
+                wait = self._quarantine.seconds_until_decided(content, now, own_crashes)
                 left = self._quarantine.seconds_left(content, now)
-            if standing is not ContentStatus.UNDECIDED:
+            if status is not ContentStatus.UNDECIDED:
                 break
             self._clock.sleep(wait)
-        if standing is ContentStatus.QUARANTINED:
+        if status is ContentStatus.QUARANTINED:
             _logger.warning(
                 "content refused", extra={"content": content, "seconds_left": round(left, 1)}
             )
             raise ContentQuarantinedError(
-                "Requests with this content end the endpoints that run them.", retry_after=left
+                "Requests with this content crash the endpoints that run them.", retry_after=left
             )
 
-    def is_suspect(self, content: str, own_ends: Collection[int] = ()) -> bool:
-        """Return whether a request is to be sent alone; ``own_ends`` as for ``check``."""
+    def is_suspect(self, content: str, own_crashes: Collection[int] = ()) -> bool:
+        """Return whether a request needs an idle endpoint; ``own_crashes`` as for ``check``."""
         with self._lock:
-            standing = self._quarantine.status(content, self._clock.monotonic(), own_ends)
-        return standing is ContentStatus.SUSPECT
+            status = self._quarantine.status(content, self._clock.monotonic(), own_crashes)
+        return status is ContentStatus.SUSPECT
 
     def record_crash(self, content: str, endpoint: str, placed_at: float = -math.inf) -> int:
-        """Note that an endpoint ended while it had a request with the content; name the end."""
+        """Record a crash with the content in flight and return the key of the crash."""
         with self._lock:
             now = self._clock.monotonic()
             key = self._crash_key_by_endpoint.get(endpoint)
@@ -80,53 +80,55 @@
         return key
 
     def record_response(self, endpoint: str) -> None:
-        """Note that an endpoint answers: what comes next is another end."""
+        """Record that an endpoint responds; its next crash gets a new key."""
         with self._lock:
             self._crash_key_by_endpoint.pop(endpoint, None)
 
     def record_served(self, content: str) -> None:
-        """Note a whole answer."""
+        """Record a complete response."""
         with self._lock:
             cleared = self._quarantine.record_served(content, self._clock.monotonic())
         if cleared:
             _logger.info("content cleared", extra={"content": content})
 
     def fill_entry(self, entry: DaemonEntry) -> None:
-        """Fill in what this daemon tells of contents in a round."""
+        """Set the crash reports in this daemon's gossip entry."""
         with self._lock:
-            words = self._quarantine.reports(self._clock.monotonic())
+            reports = self._quarantine.reports(self._clock.monotonic())
         del entry.ended_contents[:]
-        entry.ended_contents.extend(map(_encode_report, words))
+        entry.ended_contents.extend(map(_encode_report, reports))
 
     def merge_entries(self, entries: Iterable[DaemonEntry]) -> None:
-        """Take in what others tell."""
-        words = [_decode_report(each) for entry in entries for each in entry.ended_contents]
-        if not words:
+        """Merge the crash reports of other daemons."""
+        reports = [_decode_report(each) for entry in entries for each in entry.ended_contents]
+        if not reports:
             return
         with self._lock:
-            self._quarantine.merge_reports(words, self._clock.monotonic())
+            self._quarantine.merge_reports(reports, self._clock.monotonic())
 
 
-def _encode_report(word: CrashReport) -> EndedContent:
-    told = EndedContent(
-        content=bytes.fromhex(word.content),
+def _encode_report(report: CrashReport) -> EndedContent:
+    message = EndedContent(
+        content=bytes.fromhex(report.content),
         ends=[
             SeenEndpointEnd(
-                endpoint=end.endpoint, age_milliseconds=int(end.age * _MS_PER_SECOND), soon=end.soon
+                endpoint=crash.endpoint,
+                age_milliseconds=int(crash.age * _MS_PER_SECOND),
+                soon=crash.soon,
             )
-            for end in word.crashes
+            for crash in report.crashes
         ],
     )
-    if word.served_age is not None:
-        told.served_age_milliseconds = int(word.served_age * _MS_PER_SECOND)
-    return told
+    if report.served_age is not None:
+        message.served_age_milliseconds = int(report.served_age * _MS_PER_SECOND)
+    return message
 
 
-def _decode_report(told: EndedContent) -> CrashReport:
+def _decode_report(message: EndedContent) -> CrashReport:
     ends = tuple(
         ObservedCrash(each.endpoint, each.age_milliseconds / _MS_PER_SECOND, each.soon)
-        for each in told.ends
+        for each in message.ends
     )
-    served = told.served_age_milliseconds / _MS_PER_SECOND
-    known = told.HasField("served_age_milliseconds")
-    return CrashReport(told.content.hex(), ends, served if known else None)
+    served = message.served_age_milliseconds / _MS_PER_SECOND
+    known = message.HasField("served_age_milliseconds")
+    return CrashReport(message.content.hex(), ends, served if known else None)
