--- a/src/brassdrum/daemon/control.py
+++ b/src/brassdrum/daemon/control.py
@@ -1,4 +1,4 @@
-"""Follow the control stream; load it from the log, or from peers while the log is down."""
+"""Replication of the control stream from the log, or from peers while the log is unavailable."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def best_checkpoint(log: Log) -> Checkpoint | None:
-    """Return the checkpoint that reaches furthest, whatever order they were written in."""
+    """Return the checkpoint with the highest ``through``, regardless of the order of writing."""
     best = None
     offset = 0
     while True:
@@ -38,7 +38,8 @@
                 checkpoint = parse_checkpoint(record.value)
             except (UnreadableRecordError, NewerFormatError) as error:
                 _logger.warning(
-                    "checkpoint skipped", extra={"offset": record.offset, "reason": str(error)}
+                    "skipped an unreadable checkpoint",
+                    extra={"offset": record.offset, "reason": str(error)},
                 )
                 continue
             if best is None or checkpoint.through > best.through:
@@ -49,7 +50,7 @@
 
 
 class ControlState:
-    """Hold the fold of the control stream and show it as views."""
+    """Maintains the fold of the control stream and publishes views of it."""
 
     def __init__(
         self,
@@ -65,22 +66,27 @@
         self._fold = ControlFold()
         self._view: FleetView | None = None
         self._loaded = False
-        self._gap = False
-        # The state of a log that came back from a copy, until something is published there.
+        self._has_gap = False
+        # State of a log restored from a backup; None once a document has been published to it.
         self._restored: ControlFold | None = None
         self._restored_end = 0
         self._tail = Tail(
-            log, CONTROL_STREAM, clock, self._next_offset, self._apply, on_restored=self._begin_anew
+            log,
+            CONTROL_STREAM,
+            clock,
+            self._next_offset,
+            self._apply,
+            on_restored=self._start_restored,
         )
 
     @property
     def view(self) -> FleetView | None:
-        """Return the present view, or None before the first configuration."""
+        """Return the current view, or None before the first configuration."""
         return self._view
 
     @property
     def log_answers(self) -> bool:
-        """Return whether the log answered the last read."""
+        """Return whether the last read of the log succeeded."""
         return self._tail.answers
 
     @property
@@ -90,25 +96,25 @@
 
     @property
     def through(self) -> int:
-        """Return the offset up to which the log was applied."""
+        """Return the offset through which the log has been applied."""
         return self._fold.through
 
     def not_ready(self) -> str | None:
         """Return why this daemon cannot serve yet, or None."""
         if self._fold.needs_upgrade is not None:
             return f"upgrade this daemon: {self._fold.needs_upgrade}"
-        if self._gap:
-            return "the log forgot records that this daemon has not read; waiting for a checkpoint"
+        if self._has_gap:
+            return "the log trimmed records that this daemon has not read; waiting for a checkpoint"
         if self._view is None:
             return "no accepted configuration is held yet"
         return None
 
     def step(self) -> None:
-        """Load once, then read on."""
+        """Load the initial state on the first call, then apply new records."""
         if not self._loaded:
-            self._load()
-        if self._gap:
-            self._reload()
+            self._load_initial()
+        if self._has_gap:
+            self._recover_from_gap()
         self._tail.step()
 
     def pause(self) -> float:
@@ -116,63 +122,67 @@
         return self._tail.pause()
 
     def with_fold(self, function: Callable[[ControlFold], object]) -> object:
-        """Call a function on the fold of the log while nothing else changes it."""
+        """Call a function with the fold of the log while holding the lock."""
         with self._lock:
-            return function(self._following())
+            return function(self._log_fold())
 
     def snapshot(self) -> bytes:
-        """Return a checkpoint of the present state for a peer, empty when there is none."""
+        """Return a checkpoint of the current state for a peer, or empty bytes if there is none."""
         with self._lock:
             if self._view is None or self._restored is not None:
                 return b""
             return canonical_json(self._fold.checkpoint().model_dump(mode="json"))
 
-    def _following(self) -> ControlFold:
+    def _log_fold(self) -> ControlFold:
         return self._fold if self._restored is None else self._restored
 
     def _next_offset(self) -> int:
-        return self._following().next_offset
+        return self._log_fold().next_offset
 
-    def _begin_anew(self, page: LogPage) -> None:
-        """Follow a log that came back from a copy, and keep what is in force meanwhile.
+    def _start_restored(self, page: LogPage) -> None:
+        """Follow a log restored from a backup while the current configuration stays in force.
 
-        The copy may lack what was accepted last. Once something is published to it the operator
-        has read what is there, and its state counts again.
+        The backup may lack the latest accepted documents. A publication after the restore shows
+        that an operator has reviewed its state, which then replaces the current one.
         """
         with self._lock:
             self._restored = ControlFold()
             self._restored_end = page.end
-        _logger.error("what is in force stays until something is published to the restored log")
+        _logger.error(
+            "log restored from a backup; configuration stays in force until the next publication"
+        )
         try:
             checkpoint = best_checkpoint(self._log)
         except PlatformUnavailableError as error:
-            _logger.warning("no checkpoint read", extra={"reason": error.message})
+            _logger.warning(
+                "cannot read checkpoints of the restored log", extra={"reason": error.message}
+            )
             return
         if checkpoint is not None and checkpoint.through < page.end:
             with self._lock:
                 self._restored.load(checkpoint)
 
-    def _follow_restored(self, restored: ControlFold, page: LogPage) -> None:
+    def _apply_restored(self, restored: ControlFold, page: LogPage) -> None:
         if page.earliest > restored.next_offset:
-            self._note_gap(page)
+            self._report_gap(page)
             return
         for record in page.records:
             restored.apply(record.offset, record.value)
         if restored.revision < self._restored_end:
             return
         self._fold, self._restored = restored, None
-        self._show()
+        self._publish_view()
 
-    def _load(self) -> None:
+    def _load_initial(self) -> None:
         try:
-            self._take(best_checkpoint(self._log))
+            self._load_checkpoint(best_checkpoint(self._log))
             self._loaded = True
         except PlatformUnavailableError:
             self._load_from_peers()
 
-    def _reload(self) -> None:
+    def _recover_from_gap(self) -> None:
         try:
-            self._take(best_checkpoint(self._log))
+            self._load_checkpoint(best_checkpoint(self._log))
         except PlatformUnavailableError:
             pass
         self._load_from_peers()
@@ -182,49 +192,53 @@
             if not content:
                 continue
             try:
-                self._take(Checkpoint.model_validate_json(content))
+                self._load_checkpoint(Checkpoint.model_validate_json(content))
             except ValueError as error:
-                _logger.warning("peer sent no usable snapshot", extra={"reason": str(error)})
+                _logger.warning(
+                    "ignored an invalid snapshot from a peer", extra={"reason": str(error)}
+                )
 
-    def _take(self, checkpoint: Checkpoint | None) -> None:
+    def _load_checkpoint(self, checkpoint: Checkpoint | None) -> None:
         if checkpoint is None:
             return
         with self._lock:
             try:
                 taken = self._fold.load(checkpoint)
             except InvalidDocumentError as error:
-                _logger.error("checkpoint not usable", extra={"reason": error.message})
+                _logger.error("ignored an invalid checkpoint", extra={"reason": error.message})
                 return
             if taken:
-                self._gap = False
-                self._show()
+                self._has_gap = False
+                self._publish_view()
 
     def _apply(self, page: LogPage) -> None:
         with self._lock:
             if self._restored is not None:
-                self._follow_restored(self._restored, page)
+                self._apply_restored(self._restored, page)
                 return
             if page.earliest > self._fold.next_offset:
-                self._note_gap(page)
+                self._report_gap(page)
                 return
             revision = self._fold.revision
             for record in page.records:
                 skipped = self._fold.skipped_count
                 self._fold.apply(record.offset, record.value)
                 if self._fold.skipped_count > skipped:
-                    _logger.warning("log record skipped", extra={"offset": record.offset})
+                    _logger.warning(
+                        "skipped an invalid log record", extra={"offset": record.offset}
+                    )
             if self._fold.revision != revision:
-                self._show()
+                self._publish_view()
 
-    def _note_gap(self, page: LogPage) -> None:
-        if not self._gap:
+    def _report_gap(self, page: LogPage) -> None:
+        if not self._has_gap:
             _logger.error(
-                "the log forgot records before they were read",
+                "the log trimmed records before this daemon read them",
                 extra={"next": self._fold.next_offset, "earliest": page.earliest},
             )
-        self._gap = True
+        self._has_gap = True
 
-    def _show(self) -> None:
+    def _publish_view(self) -> None:
         view = FleetView.of(self._fold)
         if view is None:
             return
