--- a/src/brassdrum/daemon/admin.py
+++ b/src/brassdrum/daemon/admin.py
@@ -1,4 +1,4 @@
-"""Answer the balancer and the operators: health, readiness, status, explanations, metrics."""
+"""Administrative endpoints: health, readiness, metrics, status and explanations."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from brassdrum.contracts.keys import hash_key
 from brassdrum.daemon.core import Core
-from brassdrum.daemon.explain import DescribedRequest, explain_described
+from brassdrum.daemon.explain import DescribedRequest, explain_request
 from brassdrum.errors import EndpointFailedError, InvalidRequestError, NotPermittedError
 from brassdrum.membership.gossip import Gossip
 from brassdrum.membership.peer_pb2 import DaemonEntry, DaemonState
@@ -20,7 +20,7 @@
 
 
 class AdminHandler:
-    """Serve the paths under ``/-/``."""
+    """Handles requests for paths under ``/-/``."""
 
     def __init__(self, core: Core, gossip: Gossip, not_ready: Callable[[], str | None]) -> None:
         self._core = core
@@ -28,34 +28,34 @@
         self._not_ready = not_ready
 
     def health(self, request: Request) -> Response:
-        """Tell that the process answers."""
+        """Return 200 while the process is alive."""
         return json_response({"status": "ok", "daemon": self._core.settings.name})
 
     def ready(self, request: Request) -> Response:
-        """Tell whether the balancer may send requests."""
+        """Return 200 if the load balancer may send requests, else 503 with the reason."""
         reason = self._not_ready()
         if reason is None:
             return json_response({"status": "ready"})
         return json_response({"status": "not ready", "reason": reason}, 503)
 
     def metrics(self, request: Request) -> Response:
-        """Show the Prometheus page."""
+        """Return all metrics in the Prometheus text format."""
         page = self._core.metrics.page()
         return Response(200, [page], "text/plain; version=0.0.4", length=len(page))
 
     def status(self, request: Request) -> Response:
-        """Show daemons, endpoints, load, revisions, duties and accounts."""
+        """Return daemons, endpoints, load, revisions, duties and accounts."""
         self._check_operator(request)
         core = self._core
         now = core.clock.monotonic()
         with self._gossip.lock:
-            daemons = [_daemon(self._gossip.table.own, live=True)]
+            daemons = [_daemon_status(self._gossip.table.own, live=True)]
             live = {record.entry.name for record in self._gossip.table.live_peers(now)}
             for record in self._gossip.table.records():
-                daemons.append(_daemon(record.entry, live=record.entry.name in live))
+                daemons.append(_daemon_status(record.entry, live=record.entry.name in live))
         with core.dispatcher.lock:
             states = core.dispatcher.fleet.states_by_name
-            endpoints = [_endpoint(state, now) for state in states.values()]
+            endpoints = [_endpoint_status(state, now) for state in states.values()]
             accounts = [
                 {
                     "organisation": account.organisation,
@@ -84,11 +84,11 @@
             "endpoints": endpoints,
             "organisations": accounts,
         }
-        content |= core.control.with_fold(_control)  # type: ignore[operator]
+        content |= core.control.with_fold(_control_status)  # type: ignore[operator]
         return json_response(content)
 
     def held(self, request: Request) -> Response:
-        """Show who holds memory at every engine."""
+        """Return the owners of reserved memory on each engine."""
         self._check_operator(request)
         held_by_endpoint: dict[str, object] = {}
         for name, engine in self._core.dispatcher.fleet.engines_by_name.items():
@@ -99,19 +99,21 @@
         return json_response({"held": held_by_endpoint})
 
     def documents(self, request: Request) -> Response:
-        """Show the accepted documents."""
+        """Return the accepted documents without key hashes."""
         self._check_operator(request)
-        return json_response({"documents": self._core.control.with_fold(_documents)})
+        return json_response({"documents": self._core.control.with_fold(_list_documents)})
 
     def explain(self, request: Request) -> Response:
-        """Tell what was decided on a request, or would be on a described one."""
+        """Return the decisions on a past request, or those expected for a described one."""
         self._check_operator(request)
         query = request.query
         if query.get("organisation"):
-            return json_response({"steps": explain_described(self._core, _described(query))})
+            return json_response(
+                {"steps": explain_request(self._core, _parse_described_request(query))}
+            )
         request_id = query.get("request")
         if not request_id:
-            raise InvalidRequestError("The query has neither 'request' nor 'organisation'.")
+            raise InvalidRequestError("The query must contain 'request' or 'organisation'.")
         return json_response({"steps": self._core.explanations.get(request_id)})
 
     def _check_operator(self, request: Request) -> None:
@@ -121,12 +123,12 @@
         given = request.header("Brassdrum-Operator-Token") or ""
         if not hmac.compare_digest(hash_key(given, _TOKEN_SALT), expected):
             raise NotPermittedError(
-                "The operator token is missing or wrong.",
+                "The operator token is missing or invalid.",
                 remedy="Send Brassdrum-Operator-Token, or set BRASSDRUM_OPERATOR_TOKEN.",
             )
 
 
-def _described(query: dict[str, str]) -> DescribedRequest:
+def _parse_described_request(query: dict[str, str]) -> DescribedRequest:
     try:
         return DescribedRequest(
             query["organisation"],
@@ -135,10 +137,12 @@
             int(query.get("answer_tokens", "256")),
         )
     except (KeyError, ValueError) as error:
-        raise InvalidRequestError(f"The described request is incomplete: {error}.") from error
+        raise InvalidRequestError(
+            f"The described request is incomplete or invalid: {error}."
+        ) from error
 
 
-def _daemon(entry: DaemonEntry, *, live: bool) -> dict[str, object]:
+def _daemon_status(entry: DaemonEntry, *, live: bool) -> dict[str, object]:
     return {
         "name": entry.name,
         "zone": entry.zone,
@@ -150,7 +154,7 @@
     }
 
 
-def _endpoint(state: EndpointState, now: float) -> dict[str, object]:
+def _endpoint_status(state: EndpointState, now: float) -> dict[str, object]:
     return {
         "name": state.endpoint.name,
         "kind": state.endpoint.kind.value,
@@ -165,7 +169,7 @@
     }
 
 
-def _control(fold) -> dict[str, object]:
+def _control_status(fold) -> dict[str, object]:
     return {
         "skipped_records": fold.skipped_count,
         "last_skipped": [
@@ -178,19 +182,19 @@
     }
 
 
-def _documents(fold) -> list[dict[str, object]]:
+def _list_documents(fold) -> list[dict[str, object]]:
     return [
         {
             "kind": key.kind.value,
             "name": key.name,
             "revision": document.revision,
-            "body": _without_hashes(document.body),
+            "body": _redact_key_hashes(document.body),
         }
         for key, document in sorted(fold.documents_by_key.items())
     ]
 
 
-def _without_hashes(body: dict[str, object] | None) -> dict[str, object] | None:
+def _redact_key_hashes(body: dict[str, object] | None) -> dict[str, object] | None:
     if body is None or not isinstance(body.get("keys"), list):
         return body
     return body | {"keys": [key.get("id") for key in body["keys"]]}
--- a/src/brassdrum/daemon/explain.py
+++ b/src/brassdrum/daemon/explain.py
@@ -1,4 +1,4 @@
-"""Tell what would become of a described request, without running it."""
+"""Dry run of admission and routing for a described request."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from brassdrum.daemon.core import Core
 from brassdrum.routing.groups import can_ever_fit
 
-__all__ = ["DescribedRequest", "explain_described"]
+__all__ = ["DescribedRequest", "explain_request"]
 
 
 @dataclass(frozen=True, slots=True)
 class DescribedRequest:
-    """Hold what an operator asks about."""
+    """Parameters of a hypothetical request."""
 
     organisation: str
     target: str
@@ -23,22 +23,22 @@
     answer_tokens: int
 
 
-def explain_described(core: Core, asked: DescribedRequest) -> list[dict[str, str]]:
-    """Return the steps that the request would take now on this daemon."""
+def explain_request(core: Core, request: DescribedRequest) -> list[dict[str, str]]:
+    """Return the decisions that this daemon would take on the request now."""
     view = core.control.view
     if view is None:
         return [_step("refused", "not_ready: no configuration is in force")]
-    contract = view.contracts_by_organisation.get(asked.organisation)
+    contract = view.contracts_by_organisation.get(request.organisation)
     if contract is None:
         return [_step("refused", "unknown_api_key: no contract of that organisation is in force")]
     steps = [_step("contract", f"revision {view.revision}, urgency {contract.urgency.value}")]
-    refusal = _refusal(core, view, contract, asked)
+    refusal = _rejection_reason(core, view, contract, request)
     if refusal:
         return [*steps, _step("refused", refusal)]
-    steps.append(_step("limits", _limits(core, contract)))
+    steps.append(_step("limits", _describe_limits(core, contract)))
     with core.dispatcher.lock:
-        steps.append(_step("queue", _queue(core, contract)))
-        steps.append(_step("route", _route(core, contract, asked)))
+        steps.append(_step("queue", _describe_queue(core, contract)))
+        steps.append(_step("route", _describe_route(core, contract, request)))
     return steps
 
 
@@ -46,28 +46,30 @@
     return {"at": "now", "step": name, "detail": detail}
 
 
-def _refusal(core: Core, view: FleetView, contract: Contract, asked: DescribedRequest) -> str:
-    if is_service(asked.target):
+def _rejection_reason(
+    core: Core, view: FleetView, contract: Contract, request: DescribedRequest
+) -> str:
+    if is_service(request.target):
         return ""
-    if asked.target not in contract.models:
+    if request.target not in contract.models:
         return f"unknown_model: the contract covers {', '.join(contract.models) or 'no models'}"
-    model = view.models_by_name.get(asked.target)
+    model = view.models_by_name.get(request.target)
     if model is None:
         return "unknown_model: the fleet does not have it"
     limits = contract.limits
-    if asked.prompt_tokens > limits.longest_prompt:
+    if request.prompt_tokens > limits.longest_prompt:
         return f"prompt_too_long: the contract allows {limits.longest_prompt}"
-    if asked.answer_tokens > limits.longest_answer:
+    if request.answer_tokens > limits.longest_answer:
         return f"prompt_too_long: the contract allows answers of {limits.longest_answer}"
-    tokens = asked.prompt_tokens + asked.answer_tokens
+    tokens = request.prompt_tokens + request.answer_tokens
     if tokens > model.context_tokens:
         return f"prompt_too_long: the model holds {model.context_tokens}"
-    if not can_ever_fit(tokens, core.dispatcher.fleet.states_by_target.get(asked.target, [])):
+    if not can_ever_fit(tokens, core.dispatcher.fleet.states_by_target.get(request.target, [])):
         return "prompt_too_long: all endpoints together cannot hold it"
     return ""
 
 
-def _limits(core: Core, contract: Contract) -> str:
+def _describe_limits(core: Core, contract: Contract) -> str:
     part = core.limits.slice_of(contract.organisation)
     running = core.limits.in_flight(contract.organisation)
     return (
@@ -77,22 +79,22 @@
     )
 
 
-def _queue(core: Core, contract: Contract) -> str:
+def _describe_queue(core: Core, contract: Contract) -> str:
     waiting = core.dispatcher.queue.queued(contract.organisation)
     return f"{len(core.dispatcher.queue)} wait here, {waiting} of this organisation"
 
 
-def _route(core: Core, contract: Contract, asked: DescribedRequest) -> str:
+def _describe_route(core: Core, contract: Contract, request: DescribedRequest) -> str:
     now = core.clock.monotonic()
     fleet = core.dispatcher.fleet
-    states = fleet.states_by_target.get(asked.target, [])
+    states = fleet.states_by_target.get(request.target, [])
     usable = [state for state in states if state.usable(now)]
     work = Work(
         id="described",
         organisation=contract.organisation,
-        target=asked.target,
-        prompt_tokens=asked.prompt_tokens,
-        answer_tokens=asked.answer_tokens,
+        target=request.target,
+        prompt_tokens=request.prompt_tokens,
+        answer_tokens=request.answer_tokens,
         urgency=contract.urgency,
         share=contract.share,
         arrived=now,
@@ -100,7 +102,7 @@
         deadline=now + contract.longest_wait_seconds + contract.longest_run_seconds,
     )
     chosen = fleet.choose(work)
-    band = band_of(asked.prompt_tokens).value
+    band = band_of(request.prompt_tokens).value
     if chosen is None:
         return f"{band}: would wait; {len(usable)} of {len(states)} endpoints are usable, all full"
     return f"{band}: to {chosen.endpoint.name}; {len(usable)} of {len(states)} are usable"
--- a/src/brassdrum/daemon/explanations.py
+++ b/src/brassdrum/daemon/explanations.py
@@ -1,4 +1,4 @@
-"""Remember the decisions on recent requests, so that an operator can ask why."""
+"""Bounded in-memory history of the decisions on recent requests."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 __all__ = ["Explanations", "Step"]
 
-_REQUESTS_KEPT = 2_000
-_STEPS_KEPT = 32
+_MAX_REQUESTS = 2_000
+_MAX_STEPS_PER_REQUEST = 32
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """Hold one decision on a request."""
+    """A decision on a request."""
 
     at: str
     step: str
@@ -24,7 +24,7 @@
 
 
 class Explanations:
-    """Keep the last steps of the last requests."""
+    """Stores the first steps of each of the most recent requests."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -32,16 +32,16 @@
         self._steps_by_request: OrderedDict[str, list[Step]] = OrderedDict()
 
     def add(self, request_id: str, step: str, detail: str) -> None:
-        """Note a step."""
+        """Append a step; drop it if the request has too many."""
         at = self._clock.now().isoformat(timespec="milliseconds")
         with self._lock:
             steps = self._steps_by_request.setdefault(request_id, [])
-            if len(steps) < _STEPS_KEPT:
+            if len(steps) < _MAX_STEPS_PER_REQUEST:
                 steps.append(Step(at, step, detail))
-            if len(self._steps_by_request) > _REQUESTS_KEPT:
+            if len(self._steps_by_request) > _MAX_REQUESTS:
                 self._steps_by_request.popitem(last=False)
 
     def get(self, request_id: str) -> list[dict[str, str]]:
-        """Return the steps of a request, empty when it is not known here."""
+        """Return the steps of a request, or an empty list if it is unknown."""
         with self._lock:
             return [asdict(step) for step in self._steps_by_request.get(request_id, [])]
