--- a/src/brassdrum/daemon/fleet.py
+++ b/src/brassdrum/daemon/fleet.py
@@ -1,4 +1,4 @@
-"""Hold the endpoints of the configuration in force with their state, clients and indexes."""
+"""Registry of the configured endpoints with their state, clients and indexes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Fleet:
-    """Know every endpoint; changed only under the dispatcher's lock."""
+    """Endpoints of the current configuration. Must be modified under the dispatcher's lock."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self._long_prefill_meter = DemandMeter(self._started_at, _LONG_LOAD_HALF_LIFE_SECONDS)
 
     def configure(self, configuration: Configuration) -> None:
-        """Take over a new configuration; endpoints that stay keep their state."""
+        """Apply a new configuration; endpoints with an unchanged URL keep their state."""
         self._settings = configuration.policy
         known = self.states_by_name
         self.states_by_name = {}
@@ -70,7 +70,7 @@
                 self.estimates_by_model[model.name] = ModelEstimate.of(model)
 
     def choose(self, work: Work) -> EndpointState | None:
-        """Return the endpoint for work, or None while all that are fit are full."""
+        """Return the endpoint for a work item, or None if all eligible ones are full."""
         candidates = self.states_by_target.get(work.target, [])
         if not candidates:
             return None
@@ -89,7 +89,7 @@
         return self._policy_for(work.target).choose(work, candidates, context)
 
     def record_arrival(self, work: Work) -> None:
-        """Learn how many engines the long prompts keep busy; it moves the pools' border."""
+        """Add a long prompt to the load that sets the boundary between pools; ignore others."""
         estimate = self.estimates_by_model.get(work.target)
         if estimate is None or work.band is not LengthBand.LONG:
             return
@@ -97,11 +97,11 @@
         self._long_prefill_meter.add(estimate.prefill_seconds(work.prompt_tokens), now)
 
     def long_load(self) -> float:
-        """Return the engines' worth of long prefill that arrives at this daemon."""
+        """Return the number of engines needed for the long prompts that arrive at this daemon."""
         return self._long_prefill_meter.rates(self._clock.monotonic())[1]
 
     def set_peer_load(self, daemon: str, endpoint: str, load: PeerLoad) -> None:
-        """Note what another daemon has in flight at an endpoint."""
+        """Set the load that another daemon has in flight on an endpoint."""
         state = self.states_by_name.get(endpoint)
         if state is None:
             return
@@ -109,7 +109,7 @@
         self._loaded_endpoints_by_peer.setdefault(daemon, set()).add(endpoint)
 
     def drop_stale_peer_loads(self, daemon: str, still_loaded: set[str]) -> None:
-        """Forget a daemon's loads at endpoints where it has nothing in flight any more."""
+        """Remove a daemon's loads on endpoints that are not in ``still_loaded``."""
         loaded = self._loaded_endpoints_by_peer.get(daemon, set())
         for endpoint in loaded - still_loaded:
             loaded.discard(endpoint)
@@ -118,16 +118,16 @@
                 state.peers_by_daemon.pop(daemon, None)
 
     def max_kv_tokens(self, target: str) -> int:
-        """Return the memory of the largest engine for a target, in tokens."""
+        """Return the capacity of the largest engine for a target in KV cache tokens."""
         states = self.states_by_target.get(target, [])
         return max((state.endpoint.kv_tokens for state in states), default=0)
 
     def leaving(self) -> list[str]:
-        """Return the names of leaving endpoints."""
+        """Return the names of endpoints that are leaving."""
         return [name for name, state in self.states_by_name.items() if state.leaving]
 
     def failing(self, now: float) -> list[str]:
-        """Return the names of endpoints whose breaker is open."""
+        """Return the names of endpoints whose circuit breaker is open."""
         return [
             name for name, state in self.states_by_name.items() if not state.breaker.allows(now)
         ]
@@ -145,7 +145,7 @@
         else:
             self.services_by_name[endpoint.name] = ServiceClient(endpoint.name, endpoint.url)
         now = self._clock.monotonic()
-        # What is there when the daemon starts has been serving others: no slow start.
+        # Endpoints of the first configuration are in service already and need no slow start.
         first = not self.states_by_target
         return EndpointState(endpoint, float("-inf") if first else now)
 
