--- a/src/brassdrum/daemon/core.py
+++ b/src/brassdrum/daemon/core.py
@@ -1,4 +1,4 @@
-"""Hold the parts of one daemon that its request handlers share."""
+"""Components of a daemon that its request handlers share."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class ActiveRequests:
-    """Count the requests in work, so that a shutdown can wait for them."""
+    """Counter of active requests that a graceful shutdown can wait on."""
 
     def __init__(self) -> None:
         self._changed = threading.Condition()
@@ -47,25 +47,25 @@
         return self._count
 
     def enter(self) -> None:
-        """Count one in."""
+        """Increment the counter."""
         with self._changed:
             self._count += 1
 
     def leave(self) -> None:
-        """Count one out."""
+        """Decrement the counter."""
         with self._changed:
             self._count -= 1
             self._changed.notify_all()
 
-    def wait_idle(self, seconds: float) -> bool:
-        """Wait until none is left; return whether that came true."""
+    def wait_idle(self, timeout: float) -> bool:
+        """Block until no request is active; return False on a timeout."""
         with self._changed:
-            return self._changed.wait_for(lambda: self._count == 0, seconds)
+            return self._changed.wait_for(lambda: self._count == 0, timeout)
 
 
 @dataclass(slots=True)
 class Scope:
-    """Hold what is known of one request from its headers and its contract."""
+    """Context of a request, derived from its headers and its contract."""
 
     request: Request
     request_id: str
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class Core:
-    """Join the parts of a daemon."""
+    """The shared components."""
 
     settings: DaemonSettings
     clock: Clock
@@ -112,10 +112,13 @@
         self.retries = RetryPolicy(self.retry_budget, random.Random())
 
     def scope(self, request: Request, name: str) -> Scope:
-        """Return the scope of a request, or raise why it is refused before it is read."""
+        """Authenticate a request and return its scope; the body is not read.
+
+        Raises ``NotReadyError``, ``UnknownKeyError`` or ``InvalidRequestError``.
+        """
         view = self.control.view
         if view is None or self.stopping.is_set():
-            raise NotReadyError("This daemon takes no new work.", retry_after=1.0)
+            raise NotReadyError("This daemon is not accepting new requests.", retry_after=1.0)
         contract = self._authenticate(request, view)
         arrived = self.clock.monotonic()
         seconds = _timeout_seconds(request, contract)
@@ -136,21 +139,21 @@
         )
 
     def wall_time(self, monotonic: float) -> float:
-        """Return a monotonic time as seconds since the epoch."""
+        """Convert a monotonic time to seconds since the epoch."""
         return self.clock.now().timestamp() + monotonic - self.clock.monotonic()
 
     def new_stream_id(self) -> str:
-        """Return an id that no other stream has."""
+        """Return a unique stream id."""
         return f"{self.settings.name}-{uuid.uuid4().hex}"
 
     @staticmethod
     def _authenticate(request: Request, view: FleetView) -> Contract:
         secret = _api_key(request)
         if secret is None:
-            raise UnknownKeyError("The request carries no API key.")
+            raise UnknownKeyError("The request has no API key.")
         owner = view.keys.find(secret)
         if owner is None:
-            raise UnknownKeyError("The API key is in no contract.")
+            raise UnknownKeyError("The API key does not belong to any contract.")
         return view.contracts_by_organisation[owner.organisation]
 
 
@@ -174,12 +177,12 @@
             "The header Brassdrum-Timeout is no number.", remedy="Give it in seconds, as in '30'."
         ) from None
     if not 0 < seconds < float("inf"):
-        raise InvalidRequestError("The header Brassdrum-Timeout is not above 0.")
+        raise InvalidRequestError("The header Brassdrum-Timeout must be finite and greater than 0.")
     return min(longest, seconds)
 
 
 def request_fingerprint(scope: Scope, body: bytes) -> str:
-    """Return the name of what a request asks for, whoever handles it."""
+    """Return the fingerprint of a request; it is the same on all daemons."""
     request = scope.request
     return content_fingerprint(
         scope.organisation, request.method.encode(), request.path.encode(), body
