--- a/src/brassdrum/daemon/main.py
+++ b/src/brassdrum/daemon/main.py
@@ -1,4 +1,4 @@
-"""Join the parts of one daemon, start them, and stop them without cutting a request."""
+"""Assembly, start and graceful shutdown of a daemon."""
 
 from __future__ import annotations
 
@@ -57,12 +57,12 @@
 _HOST_LIST_READERS_PER_INTERVAL = 8
 _FLUSH_TIMEOUT_SECONDS = 5.0
 _FIRST_CONTACT_TIMEOUT_SECONDS = 5.0
-# Loops that wait for a neighbour are not waited for: they end by themselves after their timeout.
+# Short, since loops blocked on a peer end by themselves after their own timeout.
 _LOOP_STOP_TIMEOUT_SECONDS = 0.1
 
 
 class Daemon:
-    """Run one daemon."""
+    """A daemon with its servers and background loops."""
 
     def __init__(
         self, settings: DaemonSettings, clock: Clock | None = None, policy: str | None = None
@@ -152,16 +152,16 @@
 
     @property
     def url(self) -> str:
-        """Return the base URL for callers."""
+        """Return the base URL of the HTTP server."""
         return f"http://{self.settings.http.host}:{self._http.port}"
 
     @property
     def peer_address(self) -> str:
-        """Return the address for other daemons."""
+        """Return the address of the server for other daemons."""
         return f"{self.settings.peer.host}:{self._peer_server.port}"
 
     def not_ready(self) -> str | None:
-        """Return why the balancer shall not send requests, or None."""
+        """Return the reason why the load balancer must not send requests, or None."""
         if self._state in ("leaving", "draining", "stopped"):
             return f"this daemon is {self._state}"
         reason = self._control.not_ready()
@@ -180,10 +180,10 @@
             and not self._hosts.has_read
             and self._uptime() < _FIRST_CONTACT_TIMEOUT_SECONDS
         ):
-            return "neither the host list nor a peer has been heard yet"
+            return "neither the host list nor a peer has responded yet"
         if self._is_isolated(now):
-            return "no other daemon on the host list has been heard yet"
-        # What is leaving has to be known before the first request, not at the next round.
+            return "no other daemon on the host list has responded yet"
+        # Leaving endpoints must be marked before the first request, not in the next loop iteration.
         self._sharing.mark_leaving()
         with self._state_lock:
             if self._state == _CHART.initial:
@@ -191,10 +191,10 @@
         return None
 
     def _is_isolated(self, now: float) -> bool:
-        """Return whether others are listed and none was heard, while that may be our own start.
+        """Return whether other daemons are listed but none has responded since the recent start.
 
-        The others do not yet count us as cut off: to lend ourselves a part of the limits now would
-        add to the whole that they lend.
+        The others do not yet reserve a share of the limits for this daemon, so granting itself one
+        would exceed the limits.
         """
         others = set(self._hosts.daemon_names()) - {self.settings.name}
         with self.gossip.lock:
@@ -208,7 +208,7 @@
         self._sharing.mark_leaving()
 
     def _host_list_interval(self) -> float:
-        """Return a pause that grows with the fleet: any one reader tells the others by gossip."""
+        """Return an interval that grows with the fleet, since readers share the list by gossip."""
         base = self.settings.poll_seconds
         return base * max(1.0, len(self._serving_daemons()) / _HOST_LIST_READERS_PER_INTERVAL)
 
@@ -226,11 +226,11 @@
         return self._clock.monotonic() - self._created_at
 
     def slices_lent(self, organisation: str) -> dict[str, Allowance]:
-        """Return what this daemon, as the lender of an organisation's limits, lends to whom."""
+        """Return the slices of an organisation's limits lent by this daemon, by borrower."""
         return self._limits.lent(organisation)
 
     def start(self) -> None:
-        """Begin to serve and to follow the platform."""
+        """Start the servers and the background loops."""
         self._peer_server.start(self.gossip.answer, self._control.snapshot, self._limits.lend)
         self.core.relay.start()
         self._http.start()
@@ -254,14 +254,15 @@
         _logger.info("daemon started", extra={"http": self.url, "peer": self.peer_address})
 
     def stop(self) -> None:
-        """Stop gracefully: the balancer notices first, then every request ends."""
+        """Shut down gracefully: become not ready, then wait for active requests."""
         self._announce_leaving()
         self._clock.sleep(self.settings.shutdown.notice_seconds)
         self._transition("drain")
         self.core.stopping.set()
         if not self.core.active.wait_idle(self.settings.shutdown.drain_seconds):
             _logger.warning(
-                "requests cut at the drain limit", extra={"left": len(self.core.active)}
+                "drain timeout expired; aborting active requests",
+                extra={"left": len(self.core.active)},
             )
         self._duty.release()
         self._limits.give_back()
@@ -269,12 +270,12 @@
         self.close()
 
     def close(self) -> None:
-        """Stop at once."""
+        """Stop immediately."""
         if self._state == "stopped":
             return
         self._transition("stop")
         with ExitStack() as parts:
-            # All are closed even if one of them fails: a loop that goes on keeps the process.
+            # Each one is closed even if another fails; a running loop would keep the process alive.
             parts.callback(self.core.metrics.close)
             parts.callback(self.core.tracing.close)
             parts.callback(self._clients.close)
@@ -308,7 +309,7 @@
         )
 
     def _route(self, environ, start_response):
-        # The server is made first, because gossip tells others the port that it got.
+        # Defers to the router, which is created after the server because gossip needs its port.
         return self._router(environ, start_response)
 
     def _configure(self, view: FleetView) -> None:
@@ -359,8 +360,8 @@
         live = self._serving_daemons()
         with self.gossip.lock:
             left = self.gossip.table.left()
-        # A daemon that leaves by plan is not cut off: what it still uses is counted as lent to it.
-        # Counted as unheard besides, it left the next to renew with nothing for up to a term.
+        # A gracefully leaving daemon is not partitioned: what it still uses counts as lent to it.
+        # Counting it as silent too could leave the next borrower without a slice for a term.
         return Census(live, sorted({*live, *self._hosts.daemon_names()} - left))
 
     def _peer_address(self, daemon: str) -> str | None:
