--- a/features/giants.feature
+++ b/features/giants.feature
@@ -1,19 +1,19 @@
-Feature: Prompts longer than one engine's memory
+Feature: Prompts larger than the memory of one engine
 
-  Scenario: A prompt of more than twice an engine's memory
+  Scenario: A prompt larger than the memory of two engines is served by a group
     Given a site of 2 daemons and 4 engines that prefill fast
     When a caller sends a prompt of 900000 tokens
-    Then it is answered whole by a group of engines
+    Then a group of engines returns the complete response
     And the engines hold no memory
 
-  Scenario: Two giants at once through two daemons
+  Scenario: Concurrent oversized prompts through two daemons are served one at a time
     Given a site of 2 daemons and 3 engines that prefill fast
-    When 4 callers send prompts of 700000 tokens through all daemons at once
-    Then all of them are answered whole, one group at a time
+    When 4 callers send prompts of 700000 tokens through all daemons concurrently
+    Then all of them get complete responses, one group at a time
     And the engines hold no memory
 
-  Scenario: The daemon of a giant is killed
+  Scenario: Reservations expire after the daemon of an oversized prompt is killed
     Given a site of 1 daemons and 3 engines that prefill fast
     And two daemons in processes of their own
-    When a giant runs at the first process, which is killed
+    When the first process is killed while it runs an oversized prompt
     Then the engines hold no memory
