--- a/features/replacing.feature
+++ b/features/replacing.feature
@@ -1,26 +1,26 @@
-Feature: Daemons and endpoints come and go without harm
+Feature: Replacement of daemons and endpoints without lost requests
 
-  Scenario: Three daemons are replaced one after the other under load
+  Scenario: Rolling replacement of three daemons under load
     Given a site of 3 daemons and 2 engines
-    When every daemon is replaced gracefully while callers send requests
-    Then no request was cut and none was refused but by a daemon that was already not ready
-    And the duty of writing checkpoints has a holder among the new daemons
+    When every daemon is replaced gracefully under load
+    Then every request got a complete response
+    And a new daemon holds the checkpoint duty
 
-  Scenario: A process that is told to stop finishes its streams
+  Scenario: A process drains its streams on SIGTERM
     Given a site of 1 daemon and 1 engine
     And two daemons in processes of their own
-    When a stream of 300 tokens runs at the first process, which is told to stop
-    Then the stream ends whole and the process ends by itself
+    When a stream of 300 tokens runs at the first process, which gets SIGTERM
+    Then the stream is complete and the process exits successfully
 
-  Scenario: A process hears that it shall stop, however many signals come at once
-    Given a process that waits to be told to stop, 100 times
-    When it is told so three times in a row before each wait ends
-    Then the process has heard of it each time
+  Scenario: No stop signal is lost if several arrive at once
+    Given a process that waits for a stop signal 100 times
+    When it gets three signals in a row during each wait
+    Then every wait ends and the process exits successfully
 
-  Scenario Outline: An endpoint that <sign> gets no new work
+  Scenario Outline: An endpoint that <sign> gets no new requests
     Given a site of 3 daemons and 2 engines
     When the first engine <sign>
-    Then no daemon sends it new work after 3 seconds
+    Then no daemon sends it new requests after 3 seconds
     And a good request still succeeds
 
     Examples:
@@ -28,20 +28,20 @@
       | is marked as leaving on the host list |
       | says that it is draining              |
 
-  Scenario: A host list that fails is not an empty list
+  Scenario: An unavailable host list is not treated as empty
     Given a site of 2 daemons and 2 engines
     When the first engine is marked as leaving on the host list
     And the host list fails
-    Then no daemon sends it new work after 3 seconds
+    Then no daemon sends it new requests after 3 seconds
 
-  Scenario: Gossip carries a leaving endpoint to a daemon that cannot read the host list
+  Scenario: A daemon that cannot read the host list learns of a leaving endpoint by gossip
     Given a site of 3 daemons and 2 engines
     When the host list fails for the first daemon only
     And the first engine is marked as leaving on the host list
-    Then no daemon sends it new work after 3 seconds
+    Then no daemon sends it new requests after 3 seconds
 
-  Scenario: One of nine daemons is killed
+  Scenario: Streams resume at another daemon after one is killed
     Given a site of 8 daemons and 2 engines
     And two daemons in processes of their own
     When 12 streams run at the first process, which is killed
-    Then every caller has its whole answer after one reconnect
+    Then every caller has the complete response after one reconnect
--- a/features/steps/replacing_steps.py
+++ b/features/steps/replacing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on daemons and endpoints that come and go."""
+"""Steps for the replacement, draining and loss of daemons and endpoints."""
 
 import re
 import signal
@@ -20,44 +20,44 @@
 from features.support import Load, eventually
 
 
-@when("every daemon is replaced gracefully while callers send requests")
+@when("every daemon is replaced gracefully under load")
 def step_replace(context):
     site = context.site
     live = [Caller(daemon.url, context.secret) for daemon in site.daemons]
     load = Load(lambda: list(live), lambda caller, name: caller.complete(MODEL, name, 40))
     old = list(site.daemons)
     for number, daemon in enumerate(old):
-        newcomer = site.start_daemon(f"replacement-{number}")
-        eventually(lambda daemon=newcomer: daemon.not_ready() is None, "newcomer ready")
-        live.append(Caller(newcomer.url, context.secret))
+        replacement = site.start_daemon(f"replacement-{number}")
+        eventually(lambda daemon=replacement: daemon.not_ready() is None, "replacement is ready")
+        live.append(Caller(replacement.url, context.secret))
         stopping = threading.Thread(target=daemon.stop)
         stopping.start()
-        # The balancer sees "not ready" and sends no more.
+        # A load balancer stops sending requests to a daemon that is not ready.
         live.pop(0)
         stopping.join()
         site.daemons.remove(daemon)
     context.answers = load.finish()
 
 
-@then("no request was cut and none was refused but by a daemon that was already not ready")
-def step_uncut(context):
+@then("every request got a complete response")
+def step_all_complete(context):
     bad = [answer for answer in context.answers if not answer.whole]
     assert len(context.answers) > 50 and not bad, bad[:3]
 
 
-@then("the duty of writing checkpoints has a holder among the new daemons")
-def step_duty(context):
+@then("a new daemon holds the checkpoint duty")
+def step_checkpoint_duty(context):
     names = {daemon.settings.name for daemon in context.site.daemons}
 
     def held():
         lease = context.site.daemons[0]._checkpoint_lease()
         return lease is not None and lease.holder in names
 
-    eventually(held, "a new holder")
+    eventually(held, "a new daemon holds the duty")
 
 
-@when("a stream of {tokens:d} tokens runs at the first process, which is told to stop")
-def step_stop(context, tokens):
+@when("a stream of {tokens:d} tokens runs at the first process, which gets SIGTERM")
+def step_terminate(context, tokens):
     context.tokens = tokens
     first = Caller(context.processes[0].url, context.secret)
     answer = Answer()
@@ -70,51 +70,51 @@
     context.answer = answer
 
 
-@then("the stream ends whole and the process ends by itself")
-def step_ended(context):
+@then("the stream is complete and the process exits successfully")
+def step_stream_complete(context):
     assert context.answer.whole
     assert texts(context.answer.body)[:-1] == words(context.tokens)
     assert context.processes[0].process.wait(timeout=30) == 0
 
 
-def _end(process):
-    """End a process that a step started, if it still runs."""
+def _kill(process):
+    """Kill a process if it still runs, and release its resources."""
     if process.poll() is None:
         process.kill()
     process.wait()
     process.stdout.close()
 
 
-@given("a process that waits to be told to stop, {rounds:d} times")
+@given("a process that waits for a stop signal {rounds:d} times")
 def step_waiter(context, rounds):
     waiter = Path(__file__).parents[1] / "stop_waiter.py"
     command = [sys.executable, str(waiter), str(rounds)]
     context.waiter = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
-    context.stack.push(lambda: _end(context.waiter))
+    context.stack.push(lambda: _kill(context.waiter))
 
 
-@when("it is told so three times in a row before each wait ends")
-def step_told(context):
+@when("it gets three signals in a row during each wait")
+def step_signals(context):
     waiter = context.waiter
 
-    def tell():
+    def send_signals():
         for number, _ in enumerate(waiter.stdout):
-            # Time to be in the midst of the wait; any other time must do as well.
+            # Lets the process enter the wait; correctness does not depend on this delay.
             time.sleep(0.01)
             for _ in range(3):
                 waiter.send_signal(signal.SIGTERM)
-                # Signals that come together are one to the process; these come while it handles
-                # the one before.
+                # Pending signals are merged; the delay lets each arrive while the process handles
+                # the previous one.
                 time.sleep(number % 4 * 1e-5)
 
-    context.telling = threading.Thread(target=tell, daemon=True)
-    context.telling.start()
+    context.sender = threading.Thread(target=send_signals, daemon=True)
+    context.sender.start()
 
 
-@then("the process has heard of it each time")
-def step_heard(context):
+@then("every wait ends and the process exits successfully")
+def step_all_received(context):
     assert context.waiter.wait(timeout=30) == 0
-    context.telling.join()
+    context.sender.join()
 
 
 @when("the first engine is marked as leaving on the host list")
@@ -129,13 +129,13 @@
 
 
 @when("the host list fails")
-def step_hosts_fail(context):
+def step_host_list_unavailable(context):
     time.sleep(1.0)
     context.site.platform.faults.hosts_down = True
 
 
 @when("the host list fails for the first daemon only")
-def step_hosts_fail_one(context):
+def step_host_list_unavailable_for_one(context):
     class FailingHosts:
         def read(self):
             raise PlatformUnavailableError("The host list did not answer.")
@@ -143,8 +143,8 @@
     context.site.daemons[0]._hosts._hosts = FailingHosts()
 
 
-@then("no daemon sends it new work after {seconds:d} seconds")
-def step_no_new(context, seconds):
+@then("no daemon sends it new requests after {seconds:d} seconds")
+def step_no_new_requests(context, seconds):
     time.sleep(seconds)
     engine = context.site.engines[0]
     started = engine.started
@@ -165,14 +165,14 @@
             context.first_tokens[number] = answer.tokens
     except ExchangeFailedError:
         pass
-    part = answer.body[: answer.body.rfind(b"\n\n") + 2]
-    last = re.findall(rb"id: (\d+)\n", part)[-1].decode()
+    received = answer.body[: answer.body.rfind(b"\n\n") + 2]
+    last = re.findall(rb"id: (\d+)\n", received)[-1].decode()
     headers = {
         "Brassdrum-Resume-Token": answer.headers["Brassdrum-Resume-Token"],
         "Last-Event-ID": last,
     }
     rest = Caller(context.processes[1].url, context.secret).send("GET", "/v1/resume", None, headers)
-    return rest.whole and texts(part + rest.body)[:-1] == words(400)
+    return rest.whole and texts(received + rest.body)[:-1] == words(400)
 
 
 @when("{count:d} streams run at the first process, which is killed")
@@ -187,6 +187,6 @@
         context.results = [future.result() for future in futures]
 
 
-@then("every caller has its whole answer after one reconnect")
+@then("every caller has the complete response after one reconnect")
 def step_reconnected(context):
     assert all(context.results), context.results
