--- a/features/steps/site_steps.py
+++ b/features/steps/site_steps.py
@@ -1,4 +1,4 @@
-"""Steps that build a site and look at it."""
+"""Steps that start a site and check its state."""
 
 import json
 
@@ -71,29 +71,29 @@
         context.stack.push(process.close)
         context.processes.append(process)
     for process in context.processes:
-        eventually(lambda process=process: process.ready(context.secret), "process ready")
+        eventually(lambda process=process: process.ready(context.secret), "process is ready")
 
 
 @when("one more daemon starts")
-def step_more(context):
+def step_additional_daemon(context):
     number = len(context.site.daemons) + 1
     context.newcomer = context.site.start_daemon(f"daemon-{number}")
 
 
 @when("the platform is down")
 @given("the platform is down")
-def step_down(context):
+def step_platform_down(context):
     context.site.platform.faults.down = True
 
 
 @when("the platform is up again")
-def step_up(context):
+def step_platform_up(context):
     context.site.platform.faults.down = False
 
 
 @then("the newcomer is ready")
 def step_newcomer_ready(context):
-    eventually(lambda: context.newcomer.not_ready() is None, "newcomer ready")
+    eventually(lambda: context.newcomer.not_ready() is None, "new daemon is ready")
 
 
 @then("the newcomer is not ready because {reason}")
@@ -116,7 +116,7 @@
 
 @then("status shows {count:d} skipped records")
 @then("status shows {count:d} skipped record")
-def step_skipped(context, count):
+def step_skipped_records(context, count):
     eventually(
         lambda: json.loads(caller(context).send("GET", "/-/status", None).body)["skipped_records"]
         == count,
