--- a/src/brassdrum/daemon/content_guard.py
+++ b/src/brassdrum/daemon/content_guard.py
@@ -46,16 +46,17 @@
                 now = self._clock.monotonic()
                 status = self._quarantine.status(content, now, own_crashes)
                 wait = self._quarantine.seconds_until_decided(content, now, own_crashes)
-                left = self._quarantine.seconds_left(content, now)
+                remaining = self._quarantine.seconds_left(content, now)
             if status is not ContentStatus.UNDECIDED:
                 break
             self._clock.sleep(wait)
         if status is ContentStatus.QUARANTINED:
             _logger.warning(
-                "content refused", extra={"content": content, "seconds_left": round(left, 1)}
+                "content refused", extra={"content": content, "seconds_left": round(remaining, 1)}
             )
             raise ContentQuarantinedError(
-                "Requests with this content crash the endpoints that run them.", retry_after=left
+                "Requests with this content crash the endpoints that run them.",
+                retry_after=remaining,
             )
 
     def is_suspect(self, content: str, own_crashes: Collection[int] = ()) -> bool:
--- a/src/brassdrum/daemon/control.py
+++ b/src/brassdrum/daemon/control.py
@@ -203,11 +203,11 @@
             return
         with self._lock:
             try:
-                taken = self._fold.load(checkpoint)
+                loaded = self._fold.load(checkpoint)
             except InvalidDocumentError as error:
                 _logger.error("ignored an invalid checkpoint", extra={"reason": error.message})
                 return
-            if taken:
+            if loaded:
                 self._has_gap = False
                 self._publish_view()
 
