--- a/src/brassdrum/daemon/dispatcher.py
+++ b/src/brassdrum/daemon/dispatcher.py
@@ -164,7 +164,7 @@
         state.own_by_id[work.id] = own
         state.breaker.record_sent(now)
         if work.blocks:
-            self.fleet.prefixes.stored(state.endpoint.name, work.blocks)
+            self.fleet.prefixes.record_stored(state.endpoint.name, work.blocks)
         placement = Placement(work, state, own, idle, max(0.0, now - work.arrived))
         future = self._futures_by_id.get(work.id)
         if future is None or future.done():
@@ -175,7 +175,7 @@
     def _prefill_tokens(self, work: Work, state: EndpointState) -> int:
         if not work.blocks:
             return work.prompt_tokens
-        held = self.fleet.prefixes.longest(work.blocks).get(state.endpoint.name, 0.0)
+        held = self.fleet.prefixes.expected_prefix_blocks(work.blocks).get(state.endpoint.name, 0.0)
         cached = int(held * BLOCK_CHARACTERS / _CHARACTERS_PER_TOKEN)
         return max(1, work.prompt_tokens - cached)
 
--- a/src/brassdrum/daemon/endpoint_watch.py
+++ b/src/brassdrum/daemon/endpoint_watch.py
@@ -98,13 +98,13 @@
         with self._dispatcher.lock:
             for event in events:
                 if event.number > last + 1 and last:
-                    prefixes.missed(engine.name, event.number - last - 1)
+                    prefixes.record_missed_events(engine.name, event.number - last - 1)
                 last = event.number
                 if event.stored:
-                    prefixes.stored(engine.name, [event.block])
+                    prefixes.record_stored(engine.name, [event.block])
                 else:
-                    prefixes.removed(engine.name, event.block)
-            prefixes.heard(engine.name, len(events))
+                    prefixes.record_removed(engine.name, event.block)
+            prefixes.record_received_events(engine.name, len(events))
         self._last_event_by_endpoint[engine.name] = last
 
 
--- a/src/brassdrum/daemon/fleet.py
+++ b/src/brassdrum/daemon/fleet.py
@@ -61,7 +61,7 @@
         for endpoint in configuration.endpoints:
             self.states_by_name[endpoint.name] = self._state(endpoint, known.get(endpoint.name))
         for name in known.keys() - self.states_by_name.keys():
-            self.prefixes.forget(name)
+            self.prefixes.remove_endpoint(name)
         self._index(configuration.endpoints)
         for model in configuration.models:
             if model.name not in self.estimates_by_model:
@@ -80,7 +80,7 @@
             settings=self._settings,
             long_load=self.long_load() + self.peers_long_load,
             prefill_rate=_DEFAULT_PREFILL_RATE if estimate is None else estimate.prefill_rate,
-            prefix_blocks=self.prefixes.longest(work.blocks) if work.blocks else {},
+            prefix_blocks=self.prefixes.expected_prefix_blocks(work.blocks) if work.blocks else {},
         )
         return self._policy(work.target).choose(work, candidates, context)
 
--- a/src/brassdrum/routing/prefix.py
+++ b/src/brassdrum/routing/prefix.py
@@ -26,7 +26,7 @@
     def __len__(self) -> int:
         return len(self._endpoints_by_block)
 
-    def stored(self, endpoint: str, blocks: Sequence[int]) -> None:
+    def record_stored(self, endpoint: str, blocks: Sequence[int]) -> None:
         """Note that an endpoint holds blocks."""
         for block in blocks:
             names = self._endpoints_by_block.get(block)
@@ -42,7 +42,7 @@
         while len(self._endpoints_by_block) > self._most:
             self._endpoints_by_block.popitem(last=False)
 
-    def removed(self, endpoint: str, block: int) -> None:
+    def record_removed(self, endpoint: str, block: int) -> None:
         """Note that an endpoint dropped a block."""
         names = self._endpoints_by_block.get(block)
         if names is None or endpoint not in names:
@@ -51,23 +51,23 @@
         if not names:
             del self._endpoints_by_block[block]
 
-    def missed(self, endpoint: str, events: int) -> None:
+    def record_missed_events(self, endpoint: str, events: int) -> None:
         """Lower the trust in an endpoint's entries after a gap in its events."""
         trust = self._trust_by_endpoint.get(endpoint, 1.0)
         self._trust_by_endpoint[endpoint] = max(0.2, trust * 0.99**events)
 
-    def heard(self, endpoint: str, events: int) -> None:
+    def record_received_events(self, endpoint: str, events: int) -> None:
         """Raise the trust in an endpoint's entries with each event received."""
         trust = self._trust_by_endpoint.get(endpoint, 1.0)
         self._trust_by_endpoint[endpoint] = 1.0 - (1.0 - trust) * 0.999**events
 
-    def forget(self, endpoint: str) -> None:
+    def remove_endpoint(self, endpoint: str) -> None:
         """Drop all of an endpoint's entries."""
         for block in list(self._endpoints_by_block):
-            self.removed(endpoint, block)
+            self.record_removed(endpoint, block)
         self._trust_by_endpoint.pop(endpoint, None)
 
-    def longest(self, blocks: Sequence[int]) -> dict[str, float]:
+    def expected_prefix_blocks(self, blocks: Sequence[int]) -> dict[str, float]:
         """Return the expected number of leading blocks held, by endpoint."""
         counts: dict[str, int] = {}
         held: set[str] | None = None
