--- a/src/brassdrum/daemon/finishing.py
+++ b/src/brassdrum/daemon/finishing.py
@@ -52,7 +52,7 @@
             cost = usage.prompt_tokens + _DECODE_WEIGHT * usage.completion_tokens
             estimate = self._core.dispatcher.fleet.estimates_by_model.get(placement.work.target)
             if estimate is not None:
-                estimate.learn_ratio(characters, usage.prompt_tokens)
+                estimate.learn_bytes_per_token(characters, usage.prompt_tokens)
         self._core.dispatcher.release(placement, cost)
 
     def place_group(self, work: Work) -> Placement:
--- a/src/brassdrum/daemon/fleet.py
+++ b/src/brassdrum/daemon/fleet.py
@@ -65,7 +65,7 @@
         self._index(configuration.endpoints)
         for model in configuration.models:
             if model.name not in self.estimates_by_model:
-                self.estimates_by_model[model.name] = ModelEstimate.of(model)
+                self.estimates_by_model[model.name] = ModelEstimate.from_model(model)
 
     def choose(self, work: Work) -> EndpointState | None:
         """Return the endpoint for work, or None while all that are fit are full."""
--- a/src/brassdrum/daemon/generation.py
+++ b/src/brassdrum/daemon/generation.py
@@ -131,7 +131,7 @@
             chat=chat,
             stream=content.stream,
             characters=len(text),
-            prompt_tokens=estimate.tokens(len(text)),
+            prompt_tokens=estimate.estimate_tokens(len(text)),
             answer_tokens=content.answer_tokens,
             blocks=tuple(block_hashes(text)),
         )
--- a/src/brassdrum/routing/estimate.py
+++ b/src/brassdrum/routing/estimate.py
@@ -24,13 +24,13 @@
     _initial_rate: float
 
     @classmethod
-    def of(cls, model: Model) -> ModelEstimate:
+    def from_model(cls, model: Model) -> ModelEstimate:
         """Return the estimate before anything was learned."""
         return cls(
             model.bytes_per_token, model.prefill_tokens_per_second, model.prefill_tokens_per_second
         )
 
-    def tokens(self, characters: int) -> int:
+    def estimate_tokens(self, characters: int) -> int:
         """Return the estimated tokens of a prompt, at least 1."""
         return max(1, math.ceil(characters / self.bytes_per_token))
 
@@ -38,7 +38,7 @@
         """Return the time of a prefill alone on an engine; it grows faster than the length."""
         return tokens * (1.0 + tokens / (2 * _SLOWDOWN_TOKENS)) / self.prefill_rate
 
-    def learn_ratio(self, characters: int, tokens: int) -> None:
+    def learn_bytes_per_token(self, characters: int, tokens: int) -> None:
         """Learn from an engine's ``usage``."""
         if tokens <= 0 or characters <= 0:
             return
