--- a/src/brassdrum/routing/__init__.py
+++ b/src/brassdrum/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions on which endpoint runs a request."""
+"""Routing of requests to endpoints; performs no I/O."""
--- a/src/brassdrum/routing/blocks.py
+++ b/src/brassdrum/routing/blocks.py
@@ -1,4 +1,4 @@
-"""Hash the blocks of a prompt, each over all text before it, as engines publish them."""
+"""Prefix hashes of prompt blocks, in the form that engines publish."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def block_hashes(text: str) -> list[int]:
-    """Return one hash per whole block; equal prefixes give equal hashes."""
+    """Return one hash per whole block, each over the text up to the end of that block."""
     hasher = xxhash.xxh3_64()
     hashes = []
     for start in range(0, len(text) - BLOCK_CHARACTERS + 1, BLOCK_CHARACTERS):
