--- a/src/brassdrum/routing/prefix.py
+++ b/src/brassdrum/routing/prefix.py
@@ -1,4 +1,4 @@
-"""Remember which endpoints probably hold which prompt blocks."""
+"""Index of the endpoints that probably cache a prompt block."""
 
 from __future__ import annotations
 
@@ -7,19 +7,20 @@
 
 __all__ = ["PrefixIndex"]
 
-_MOST_BLOCKS = 200_000
-_ENDPOINTS_PER_BLOCK = 8
+_MAX_BLOCKS = 200_000
+_MAX_ENDPOINTS_PER_BLOCK = 8
 
 
 class PrefixIndex:
-    """Map block hashes to endpoints; bounded, least recently used blocks go first.
+    """A bounded map from block hashes to endpoints that evicts the least recently used blocks.
 
-    Entries come from own dispatches at once and from cache events later. An endpoint whose
-    events had a gap may have dropped blocks unseen; its trust falls until it is heard again.
+    Blocks are added when this daemon dispatches a request and when a cache event arrives. A gap
+    in an endpoint's events may hide evictions: it lowers the trust in the endpoint's entries,
+    which recovers as further events arrive.
     """
 
-    def __init__(self, most_blocks: int = _MOST_BLOCKS) -> None:
-        self._most = most_blocks
+    def __init__(self, max_blocks: int = _MAX_BLOCKS) -> None:
+        self._max_blocks = max_blocks
         self._endpoints_by_block: OrderedDict[int, list[str]] = OrderedDict()
         self._trust_by_endpoint: dict[str, float] = {}
 
@@ -27,7 +28,7 @@
         return len(self._endpoints_by_block)
 
     def record_stored(self, endpoint: str, blocks: Sequence[int]) -> None:
-        """Note that an endpoint holds blocks."""
+        """Record that an endpoint caches blocks."""
         for block in blocks:
             names = self._endpoints_by_block.get(block)
             if names is None:
@@ -37,13 +38,13 @@
             if endpoint in names:
                 continue
             names.append(endpoint)
-            if len(names) > _ENDPOINTS_PER_BLOCK:
+            if len(names) > _MAX_ENDPOINTS_PER_BLOCK:
                 names.pop(0)
-        while len(self._endpoints_by_block) > self._most:
+        while len(self._endpoints_by_block) > self._max_blocks:
             self._endpoints_by_block.popitem(last=False)
 
     def record_removed(self, endpoint: str, block: int) -> None:
-        """Note that an endpoint dropped a block."""
+        """Record that an endpoint evicted a block."""
         names = self._endpoints_by_block.get(block)
         if names is None or endpoint not in names:
             return
@@ -52,33 +53,33 @@
             del self._endpoints_by_block[block]
 
     def record_missed_events(self, endpoint: str, events: int) -> None:
-        """Lower the trust in an endpoint's entries after a gap in its events."""
+        """Lower the trust in an endpoint's entries after missing ``events`` events."""
         trust = self._trust_by_endpoint.get(endpoint, 1.0)
         self._trust_by_endpoint[endpoint] = max(0.2, trust * 0.99**events)
 
     def record_received_events(self, endpoint: str, events: int) -> None:
-        """Raise the trust in an endpoint's entries with each event received."""
+        """Raise the trust in an endpoint's entries after receiving ``events`` events."""
         trust = self._trust_by_endpoint.get(endpoint, 1.0)
         self._trust_by_endpoint[endpoint] = 1.0 - (1.0 - trust) * 0.999**events
 
     def remove_endpoint(self, endpoint: str) -> None:
-        """Drop all of an endpoint's entries."""
+        """Remove all entries of an endpoint and reset its trust."""
         for block in list(self._endpoints_by_block):
             self.record_removed(endpoint, block)
         self._trust_by_endpoint.pop(endpoint, None)
 
     def expected_prefix_blocks(self, blocks: Sequence[int]) -> dict[str, float]:
-        """Return the expected number of leading blocks held, by endpoint."""
+        """Return the expected number of leading blocks cached, by endpoint."""
         counts: dict[str, int] = {}
-        held: set[str] | None = None
+        holders: set[str] | None = None
         for position, block in enumerate(blocks):
             names = self._endpoints_by_block.get(block)
             if not names:
                 break
-            held = set(names) if held is None else held.intersection(names)
-            if not held:
+            holders = set(names) if holders is None else holders.intersection(names)
+            if not holders:
                 break
-            for name in held:
+            for name in holders:
                 counts[name] = position + 1
         return {
             name: count * self._trust_by_endpoint.get(name, 1.0) for name, count in counts.items()
