--- a/src/brassdrum/routing/state.py
+++ b/src/brassdrum/routing/state.py
@@ -1,4 +1,4 @@
-"""Estimate the load of each endpoint from lagging reports, own dispatches and peers' gossip."""
+"""Estimated load of endpoints, from engine reports, own requests and gossip of other daemons."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 __all__ = ["EndpointLoad", "EndpointState", "LoadReport", "OwnWork", "PeerLoad"]
 
 _SLOW_START_SECONDS = 10.0
-_SLOW_START_FLOOR = 0.1
-_REPORT_EXPIRES_SECONDS = 10.0
-_PEER_EXPIRES_SECONDS = 5.0
+_SLOW_START_MIN_WEIGHT = 0.1
+_REPORT_TTL_SECONDS = 10.0
+_PEER_LOAD_TTL_SECONDS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Hold what an engine said about itself; ``at`` is when it was true, on our clock."""
+    """The load that an engine reported; ``at`` is the local monotonic time it applies to."""
 
     at: float
     streams: int
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerLoad:
-    """Hold what another daemon has in flight at an endpoint."""
+    """The requests that another daemon has in flight at an endpoint."""
 
     at: float
     streams: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointLoad:
-    """Hold what is believed of an endpoint at one moment."""
+    """The estimated load of an endpoint at one time."""
 
     streams: int
     queued_tokens: int
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class OwnWork:
-    """Hold one request of this daemon at an endpoint."""
+    """A request of this daemon in flight at an endpoint."""
 
     work: Work
     dispatched: float
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class EndpointState:
-    """Hold everything known of one endpoint."""
+    """The state of one endpoint as known to this daemon."""
 
     endpoint: Endpoint
     since: float
@@ -71,57 +71,63 @@
     kv_reserved: int = 0
 
     def usable(self, now: float) -> bool:
-        """Return whether new work may go here."""
+        """Return whether the endpoint accepts new requests."""
         return not self.leaving and self.breaker.allows(now)
 
     def own_queued_tokens(self) -> int:
-        """Return this daemon's prompt tokens without a first token yet."""
+        """Return the prompt tokens of this daemon's requests that await their first token."""
         return self._own_load()[1]
 
     def own_long_prefills(self) -> int:
-        """Return this daemon's long prompts without a first token yet."""
+        """Return the number of this daemon's long prompts that await their first token."""
         return self._own_load()[2]
 
     def load(self, now: float) -> EndpointLoad:
-        """Return the load believed to be there: the larger of report and sum of dispatches."""
+        """Return the estimated load.
+
+        Streams are the larger of the engine's report and the sum over daemons; queued tokens are
+        the smaller of the two, but at least those of this daemon. Held memory is the larger of
+        the report and this daemon's share. Requests that this daemon sent after a report are
+        added to its streams and tokens. Expired reports and peer loads are ignored.
+        """
         streams, queued, long_prefills, kv_held = self._own_load()
-        since_streams, since_queued = self._own_since_report()
+        since_streams, since_queued = self._own_load_since_report()
         own_queued = queued
         for peer in self.peers_by_daemon.values():
-            if now - peer.at > _PEER_EXPIRES_SECONDS:
+            if now - peer.at > _PEER_LOAD_TTL_SECONDS:
                 continue
             streams += peer.streams
             queued += peer.queued_tokens
             long_prefills += peer.long_prefills
         report = self.report
-        if report is not None and now - report.at <= _REPORT_EXPIRES_SECONDS:
+        if report is not None and now - report.at <= _REPORT_TTL_SECONDS:
             streams = max(streams, report.streams + since_streams)
             queued = max(own_queued, min(queued, report.queued_tokens + since_queued))
             kv_held = max(kv_held, report.kv_tokens_held)
         return EndpointLoad(streams, queued, long_prefills, self.endpoint.kv_tokens - kv_held)
 
     def streams(self, now: float) -> int:
-        """Return the streams believed to run."""
+        """Return the estimated number of running streams."""
         return self.load(now).streams
 
     def queued_tokens(self, now: float) -> int:
-        """Return the prompt tokens believed to wait for their prefill or be in it."""
+        """Return the estimated prompt tokens whose prefill has not finished."""
         return self.load(now).queued_tokens
 
     def long_prefills(self, now: float) -> int:
-        """Return the long prompts believed to be in prefill."""
+        """Return the estimated number of long prompts whose prefill has not finished."""
         return self.load(now).long_prefills
 
     def kv_free(self, now: float) -> int:
-        """Return the tokens of memory believed to be free."""
+        """Return the estimated free memory, in tokens."""
         return self.load(now).kv_free
 
     def weight(self, now: float) -> float:
-        """Return the part of its capacity to use: a new endpoint starts slowly."""
+        """Return the fraction of capacity to use, which rises to 1 during slow start."""
         age = now - self.since
         if age >= _SLOW_START_SECONDS:
             return 1.0
-        return max(_SLOW_START_FLOOR, age / _SLOW_START_SECONDS)
+        return max(_SLOW_START_MIN_WEIGHT, age / _SLOW_START_SECONDS)
 
     def _own_load(self) -> tuple[int, int, int, int]:
         queued = 0
@@ -136,7 +142,7 @@
             long_prefills += own.work.band is LengthBand.LONG
         return len(self.own_by_id), queued, long_prefills, held
 
-    def _own_since_report(self) -> tuple[int, int]:
+    def _own_load_since_report(self) -> tuple[int, int]:
         if self.report is None:
             return 0, 0
         streams = 0
