--- a/src/brassdrum/routing/policies.py
+++ b/src/brassdrum/routing/policies.py
@@ -1,4 +1,4 @@
-"""Choose the endpoint for a request; policies are registered by name."""
+"""Routing policies, registered by name, that choose the endpoint for a request."""
 
 from __future__ import annotations
 
@@ -19,18 +19,19 @@
 
 _CHARACTERS_PER_TOKEN = 4
 _BLOCK_TOKENS = BLOCK_CHARACTERS // _CHARACTERS_PER_TOKEN
-_SCAN_UP_TO = 16
-_SAMPLES = 6
-_LONG_HEADROOM = 0.5
-_ZONE_SECONDS = 0.003
-_BACKLOG_SECONDS = 1.0
+_FULL_SCAN_MAX_ENDPOINTS = 16
+_SAMPLED_ENDPOINTS = 6
+_MAX_LONG_HEADROOM = 0.5  # as a fraction of the long-prompt load
+_CROSS_ZONE_SECONDS = 0.003
+_MAX_BACKLOG_SECONDS = 1.0
 _DECODE_SECONDS_PER_STREAM = 0.002
-_SLOWDOWN_TOKENS = 200_000
+# Prompt length at which the marginal prefill cost of a token has doubled.
+_COST_DOUBLING_TOKENS = 200_000
 
 
 @dataclass(slots=True)
 class RoutingContext:
-    """Hold what a choice may use besides the endpoints."""
+    """Inputs of a routing decision other than the request and the endpoints."""
 
     now: float
     zone: str
@@ -42,19 +43,19 @@
 
 
 class Policy(Protocol):
-    """Choose one endpoint, or none while all that are fit are full."""
+    """Interface of a routing policy."""
 
     def choose(
         self, work: Work, endpoints: Sequence[EndpointState], context: RoutingContext
     ) -> EndpointState | None:
-        """Return the endpoint to send to; ``endpoints`` are those that serve the target."""
+        """Return one of the endpoints that serve the target, or None if all are at capacity."""
 
 
 POLICIES: Registry[type[Policy]] = Registry("routing policy")
 
 
-def _room(state: EndpointState, work: Work, now: float) -> EndpointLoad | None:
-    """Return the load of an endpoint that has room for work, else None."""
+def _load_if_available(state: EndpointState, work: Work, now: float) -> EndpointLoad | None:
+    """Return the load of an endpoint with capacity for the request, else None."""
     if not state.usable(now) or state.endpoint.name in work.excluded_endpoints:
         return None
     load = state.load(now)
@@ -67,7 +68,7 @@
 
 @POLICIES.register("round_robin")
 class RoundRobin:
-    """Take the endpoints in turn; a baseline."""
+    """Baseline policy: cycle through the endpoints."""
 
     def __init__(self) -> None:
         self._turn = 0
@@ -75,28 +76,28 @@
     def choose(
         self, work: Work, endpoints: Sequence[EndpointState], context: RoutingContext
     ) -> EndpointState | None:
-        """Return the next endpoint that has room."""
+        """Return the next endpoint with capacity."""
         for _ in range(len(endpoints)):
             self._turn += 1
             state = endpoints[self._turn % len(endpoints)]
-            if _room(state, work, context.now) is not None:
+            if _load_if_available(state, work, context.now) is not None:
                 return state
         return None
 
 
-def _least(
+def _least_loaded(
     work: Work,
     endpoints: Sequence[EndpointState],
     context: RoutingContext,
-    measure: Callable[[EndpointLoad], int],
+    load_measure: Callable[[EndpointLoad], int],
 ) -> EndpointState | None:
     best = None
     best_rank = (0.0, 0.0)
     for state in endpoints:
-        load = _room(state, work, context.now)
+        load = _load_if_available(state, work, context.now)
         if load is None:
             continue
-        rank = (float(measure(load)), context.random.random())
+        rank = (float(load_measure(load)), context.random.random())
         if best is None or rank < best_rank:
             best, best_rank = state, rank
     return best
@@ -104,44 +105,45 @@
 
 @POLICIES.register("least_outstanding")
 class LeastOutstanding:
-    """Take the endpoint with the fewest streams; a baseline."""
+    """Baseline policy: the endpoint with the fewest streams."""
 
     def choose(
         self, work: Work, endpoints: Sequence[EndpointState], context: RoutingContext
     ) -> EndpointState | None:
-        """Return the endpoint with the fewest streams among those with room."""
-        return _least(work, endpoints, context, lambda load: load.streams)
+        """Return the endpoint with capacity that has the fewest streams."""
+        return _least_loaded(work, endpoints, context, lambda load: load.streams)
 
 
 @POLICIES.register("shortest_queue_by_tokens")
 class ShortestQueueByTokens:
-    """Take the endpoint with the fewest tokens waiting for prefill; a baseline."""
+    """Baseline policy: the endpoint with the fewest tokens waiting for prefill."""
 
     def choose(
         self, work: Work, endpoints: Sequence[EndpointState], context: RoutingContext
     ) -> EndpointState | None:
-        """Return the endpoint with the shortest queue among those with room."""
-        return _least(work, endpoints, context, lambda load: load.queued_tokens)
+        """Return the endpoint with capacity that has the shortest queue."""
+        return _least_loaded(work, endpoints, context, lambda load: load.queued_tokens)
 
 
 @dataclass(frozen=True, slots=True)
-class _Pool:
-    """Hold a range of the endpoints, without copying them."""
+class _EndpointRange:
+    """A contiguous range of the endpoints, without a copy."""
 
     endpoints: Sequence[EndpointState]
     start: int
     stop: int
 
     def candidates(self, context: RoutingContext) -> Iterator[EndpointState]:
-        """Yield all of a small pool, a few random ones of a large one.
+        """Yield all endpoints of a small range, or a random sample of a large one.
 
-        Few random candidates keep daemons with the same late picture from herding.
+        The sample is followed by endpoints that cache a prefix of the prompt. Sampling keeps
+        daemons that share stale load data from all choosing the same endpoint.
         """
-        if self.stop - self.start <= _SCAN_UP_TO:
+        if self.stop - self.start <= _FULL_SCAN_MAX_ENDPOINTS:
             for index in range(self.start, self.stop):
                 yield self.endpoints[index]
             return
-        for index in context.random.sample(range(self.start, self.stop), _SAMPLES):
+        for index in context.random.sample(range(self.start, self.stop), _SAMPLED_ENDPOINTS):
             yield self.endpoints[index]
         for name in context.prefix_blocks:
             index = bisect.bisect_left(
@@ -151,76 +153,76 @@
                 yield self.endpoints[index]
 
 
-Fits = Callable[[EndpointLoad, RoutingContext], bool]
+Admits = Callable[[EndpointLoad, RoutingContext], bool]
 
 
-def _long_fits(load: EndpointLoad, context: RoutingContext) -> bool:
+def _admits_long(load: EndpointLoad, context: RoutingContext) -> bool:
     return load.long_prefills < context.settings.long_prefills_per_engine
 
 
-def _short_fits(load: EndpointLoad, context: RoutingContext) -> bool:
-    return load.queued_tokens < max(1.0, _BACKLOG_SECONDS * context.prefill_rate)
+def _admits_short(load: EndpointLoad, context: RoutingContext) -> bool:
+    return load.queued_tokens < max(1.0, _MAX_BACKLOG_SECONDS * context.prefill_rate)
 
 
-def _spill_fits(load: EndpointLoad, context: RoutingContext) -> bool:
-    return load.long_prefills == 0 and _short_fits(load, context)
+def _admits_short_spill(load: EndpointLoad, context: RoutingContext) -> bool:
+    return load.long_prefills == 0 and _admits_short(load, context)
 
 
 @POLICIES.register("length_aware")
 class LengthAware:
-    """Predict the first token's time; keep long prompts to a pool whose border follows load."""
+    """Minimise the predicted time to first token; long prompts use a pool sized by their load."""
 
     def choose(
         self, work: Work, endpoints: Sequence[EndpointState], context: RoutingContext
     ) -> EndpointState | None:
-        """Return the endpoint with the least predicted cost, or None to wait."""
-        border = self._border(len(endpoints), context)
-        long = _Pool(endpoints, border, len(endpoints))
+        """Return the endpoint with the lowest predicted time, or None if the request must wait."""
+        long_start = self._long_pool_start(len(endpoints), context)
+        long_pool = _EndpointRange(endpoints, long_start, len(endpoints))
         if work.band is LengthBand.LONG:
-            return self._best(work, long, context, _long_fits)
-        short = _Pool(endpoints, 0, border or len(endpoints))
-        first = self._best(work, short, context, _short_fits)
+            return self._cheapest(work, long_pool, context, _admits_long)
+        short_pool = _EndpointRange(endpoints, 0, long_start or len(endpoints))
+        first = self._cheapest(work, short_pool, context, _admits_short)
         if first is not None:
             return first
-        return self._best(work, long, context, _spill_fits)
+        return self._cheapest(work, long_pool, context, _admits_short_spill)
 
     @staticmethod
-    def _border(count: int, context: RoutingContext) -> int:
-        """Return the index where the pool for long prompts begins.
+    def _long_pool_start(count: int, context: RoutingContext) -> int:
+        """Return the index of the first endpoint in the pool for long prompts.
 
-        The pool holds as many engines as long prompts keep busy, with headroom that is smaller the
-        more short requests weigh: what does not fit waits, and leaves the other engines to them.
+        The pool covers the load of long prompts plus a headroom, which shrinks as the weight of
+        short requests grows. Long prompts beyond it wait, so the rest stays free for short ones.
         """
         if count < 2:
             return 0
-        headroom = 1.0 + _LONG_HEADROOM * (1.0 - context.settings.short_weight)
-        long = math.ceil(context.long_load * headroom)
-        return count - min(count - 1, max(1, long))
+        headroom = 1.0 + _MAX_LONG_HEADROOM * (1.0 - context.settings.short_weight)
+        long_engines = math.ceil(context.long_load * headroom)
+        return count - min(count - 1, max(1, long_engines))
 
-    def _best(
-        self, work: Work, pool: _Pool, context: RoutingContext, fits: Fits
+    def _cheapest(
+        self, work: Work, pool: _EndpointRange, context: RoutingContext, admits: Admits
     ) -> EndpointState | None:
         best = None
         best_seconds = 0.0
         for state in pool.candidates(context):
-            load = _room(state, work, context.now)
-            if load is None or not fits(load, context):
+            load = _load_if_available(state, work, context.now)
+            if load is None or not admits(load, context):
                 continue
-            seconds = self._seconds(state, load, work, context)
+            seconds = self._predicted_seconds(state, load, work, context)
             if best is None or seconds < best_seconds:
                 best, best_seconds = state, seconds
         return best
 
     @staticmethod
-    def _seconds(
+    def _predicted_seconds(
         state: EndpointState, load: EndpointLoad, work: Work, context: RoutingContext
     ) -> float:
         cached = context.prefix_blocks.get(state.endpoint.name, 0.0) * _BLOCK_TOKENS
         prefill = max(1.0, work.prompt_tokens - cached)
-        slowdown = 1.0 + work.prompt_tokens / (2 * _SLOWDOWN_TOKENS)
+        slowdown = 1.0 + work.prompt_tokens / (2 * _COST_DOUBLING_TOKENS)
         seconds = prefill * slowdown / context.prefill_rate
         seconds += load.queued_tokens / context.prefill_rate / state.weight(context.now)
         seconds += load.streams * _DECODE_SECONDS_PER_STREAM
         if state.endpoint.zone != context.zone:
-            seconds += _ZONE_SECONDS
+            seconds += _CROSS_ZONE_SECONDS
         return seconds * (1.0 + 0.01 * context.random.random())
