--- a/src/brassdrum/daemon/admin.py
+++ b/src/brassdrum/daemon/admin.py
@@ -158,7 +158,7 @@
         "pool": state.endpoint.pool,
         "leaving": state.leaving,
         "failing": not state.breaker.allows(now),
-        "own_streams": len(state.own_by_id),
+        "own_streams": len(state.own_requests_by_id),
         "streams": state.streams(now),
         "queued_tokens": state.queued_tokens(now),
         "long_prefills": state.long_prefills(now),
--- a/src/brassdrum/daemon/attempts.py
+++ b/src/brassdrum/daemon/attempts.py
@@ -62,7 +62,7 @@
                 self._judge_endpoint(placement, error)
                 if isinstance(error, EndpointEndedError):
                     end = self._core.guard.ended(
-                        self._content, placement.state.endpoint.name, placement.own.dispatched
+                        self._content, placement.state.endpoint.name, placement.own.dispatched_at
                     )
                     self._own_ends.add(end)
                 work = self._again(work, placement, error)
--- a/src/brassdrum/daemon/dispatcher.py
+++ b/src/brassdrum/daemon/dispatcher.py
@@ -19,7 +19,7 @@
     QueueFullError,
 )
 from brassdrum.routing.blocks import BLOCK_CHARACTERS
-from brassdrum.routing.state import EndpointState, OwnWork
+from brassdrum.routing.state import EndpointState, OwnRequest
 
 __all__ = ["Dispatcher", "Placement"]
 
@@ -35,7 +35,7 @@
 
     work: Work
     state: EndpointState
-    own: OwnWork
+    own: OwnRequest
     idle_at_start: bool
     waited: float
 
@@ -76,21 +76,21 @@
         with self.lock:
             now = self._clock.monotonic()
             state = self.fleet.states_by_name[endpoint]
-            own = OwnWork(work, now, work.prompt_tokens, reserved=True)
-            state.own_by_id[work.id] = own
+            own = OwnRequest(work, now, work.prompt_tokens, reserved=True)
+            state.own_requests_by_id[work.id] = own
             self.queue.charge(work, now)
             return Placement(work, state, own, False, max(0.0, now - work.arrived))
 
     def first_token(self, placement: Placement) -> None:
         """Note that the prefill is over."""
         with self.lock:
-            placement.own.first_token = True
+            placement.own.has_first_token = True
             self._pump()
 
     def release(self, placement: Placement, real_cost: float | None = None) -> None:
         """Give the place back."""
         with self.lock:
-            placement.state.own_by_id.pop(placement.work.id, None)
+            placement.state.own_requests_by_id.pop(placement.work.id, None)
             if real_cost is not None:
                 self.queue.correct_cost(placement.work.organisation, placement.work, real_cost)
             self._pump()
@@ -160,15 +160,15 @@
     def _assign(self, work: Work, state: EndpointState, now: float) -> None:
         self.queue.dispatch(work.id, now)
         idle = state.queued_tokens(now) == 0
-        own = OwnWork(work, now, self._prefill_tokens(work, state))
-        state.own_by_id[work.id] = own
+        own = OwnRequest(work, now, self._prefill_tokens(work, state))
+        state.own_requests_by_id[work.id] = own
         state.breaker.record_sent(now)
         if work.blocks:
             self.fleet.prefixes.record_stored(state.endpoint.name, work.blocks)
         placement = Placement(work, state, own, idle, max(0.0, now - work.arrived))
         future = self._futures_by_id.get(work.id)
         if future is None or future.done():
-            state.own_by_id.pop(work.id, None)
+            state.own_requests_by_id.pop(work.id, None)
             return
         future.set_result(placement)
 
--- a/src/brassdrum/daemon/generation.py
+++ b/src/brassdrum/daemon/generation.py
@@ -333,7 +333,7 @@
             self._guard.ended(
                 self._content,
                 self._placement.state.endpoint.name,
-                self._placement.own.dispatched,
+                self._placement.own.dispatched_at,
             )
         error.ran = Ran.MAYBE
         self._release()
--- a/src/brassdrum/daemon/sharing.py
+++ b/src/brassdrum/daemon/sharing.py
@@ -23,12 +23,12 @@
     loads = []
     for name, state in fleet.states_by_name.items():
         long_prefills = state.own_long_prefills()
-        if not state.own_by_id or (long_only and long_prefills == 0):
+        if not state.own_requests_by_id or (long_only and long_prefills == 0):
             continue
         loads.append(
             EndpointLoad(
                 endpoint=name,
-                streams=len(state.own_by_id),
+                streams=len(state.own_requests_by_id),
                 queued_tokens=state.own_queued_tokens(),
                 long_prefills=long_prefills,
             )
@@ -114,7 +114,7 @@
         with self._dispatcher.lock:
             for name, state in self._dispatcher.fleet.states_by_name.items():
                 if state.leaving and name not in leaving:
-                    state.since = self._clock.monotonic()
+                    state.available_since = self._clock.monotonic()
                 state.leaving = name in leaving
 
     def poll_filter(self) -> Callable[[str], bool]:
--- a/src/brassdrum/routing/state.py
+++ b/src/brassdrum/routing/state.py
@@ -8,7 +8,7 @@
 from brassdrum.contracts.documents import Endpoint
 from brassdrum.outcomes.breaker import CircuitBreaker
 
-__all__ = ["EndpointLoad", "EndpointState", "LoadReport", "OwnWork", "PeerLoad"]
+__all__ = ["EndpointLoad", "EndpointState", "LoadReport", "OwnRequest", "PeerLoad"]
 
 _SLOW_START_SECONDS = 10.0
 _SLOW_START_MIN_WEIGHT = 0.1
@@ -47,13 +47,13 @@
 
 
 @dataclass(slots=True)
-class OwnWork:
+class OwnRequest:
     """A request of this daemon in flight at an endpoint."""
 
     work: Work
-    dispatched: float
+    dispatched_at: float
     prefill_tokens: int
-    first_token: bool = False
+    has_first_token: bool = False
     reserved: bool = False
 
 
@@ -62,12 +62,12 @@
     """The state of one endpoint as known to this daemon."""
 
     endpoint: Endpoint
-    since: float
+    available_since: float
     breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
     leaving: bool = False
     report: LoadReport | None = None
     peers_by_daemon: dict[str, PeerLoad] = field(default_factory=dict)
-    own_by_id: dict[str, OwnWork] = field(default_factory=dict)
+    own_requests_by_id: dict[str, OwnRequest] = field(default_factory=dict)
     kv_reserved: int = 0
 
     def usable(self, now: float) -> bool:
@@ -124,7 +124,7 @@
 
     def weight(self, now: float) -> float:
         """Return the fraction of capacity to use, which rises to 1 during slow start."""
-        age = now - self.since
+        age = now - self.available_since
         if age >= _SLOW_START_SECONDS:
             return 1.0
         return max(_SLOW_START_MIN_WEIGHT, age / _SLOW_START_SECONDS)
@@ -133,23 +133,23 @@
         queued = 0
         long_prefills = 0
         held = self.kv_reserved
-        for own in self.own_by_id.values():
-            if not own.reserved:
-                held += own.work.kv_tokens
-            if own.first_token:
+        for request in self.own_requests_by_id.values():
+            if not request.reserved:
+                held += request.work.kv_tokens
+            if request.has_first_token:
                 continue
-            queued += own.prefill_tokens
-            long_prefills += own.work.band is LengthBand.LONG
-        return len(self.own_by_id), queued, long_prefills, held
+            queued += request.prefill_tokens
+            long_prefills += request.work.band is LengthBand.LONG
+        return len(self.own_requests_by_id), queued, long_prefills, held
 
     def _own_load_since_report(self) -> tuple[int, int]:
         if self.report is None:
             return 0, 0
         streams = 0
         queued = 0
-        for own in self.own_by_id.values():
-            if own.dispatched <= self.report.at:
+        for request in self.own_requests_by_id.values():
+            if request.dispatched_at <= self.report.at:
                 continue
             streams += 1
-            queued += 0 if own.first_token else own.prefill_tokens
+            queued += 0 if request.has_first_token else request.prefill_tokens
         return streams, queued
