--- a/src/brassdrum/daemon/attempts.py
+++ b/src/brassdrum/daemon/attempts.py
@@ -62,7 +62,7 @@
                 self._record_endpoint_result(placement, error)
                 if isinstance(error, EndpointEndedError):
                     crash_id = self._core.guard.record_crash(
-                        self._content, placement.state.endpoint.name, placement.own.dispatched
+                        self._content, placement.state.endpoint.name, placement.own.dispatched_at
                     )
                     self._own_crash_ids.add(crash_id)
                 work = self._prepare_retry(work, placement, error)
--- a/src/brassdrum/daemon/fleet.py
+++ b/src/brassdrum/daemon/fleet.py
@@ -63,11 +63,11 @@
                 endpoint, known.get(endpoint.name)
             )
         for name in known.keys() - self.states_by_name.keys():
-            self.prefixes.forget(name)
+            self.prefixes.remove_endpoint(name)
         self._index_by_target(configuration.endpoints)
         for model in configuration.models:
             if model.name not in self.estimates_by_model:
-                self.estimates_by_model[model.name] = ModelEstimate.of(model)
+                self.estimates_by_model[model.name] = ModelEstimate.from_model(model)
 
     def choose(self, work: Work) -> EndpointState | None:
         """Return the endpoint for a work item, or None if all eligible ones are full."""
@@ -84,7 +84,7 @@
             prefill_rate=(
                 _DEFAULT_PREFILL_TOKENS_PER_SECOND if estimate is None else estimate.prefill_rate
             ),
-            prefix_blocks=self.prefixes.longest(work.blocks) if work.blocks else {},
+            prefix_blocks=self.prefixes.expected_prefix_blocks(work.blocks) if work.blocks else {},
         )
         return self._policy_for(work.target).choose(work, candidates, context)
 
--- a/src/brassdrum/daemon/generation.py
+++ b/src/brassdrum/daemon/generation.py
@@ -133,7 +133,7 @@
             chat=chat,
             stream=content.stream,
             characters=len(text),
-            prompt_tokens=estimate.tokens(len(text)),
+            prompt_tokens=estimate.estimate_tokens(len(text)),
             answer_tokens=content.answer_tokens,
             blocks=tuple(block_hashes(text)),
         )
@@ -351,7 +351,7 @@
             self._guard.record_crash(
                 self._content,
                 self._placement.state.endpoint.name,
-                self._placement.own.dispatched,
+                self._placement.own.dispatched_at,
             )
         error.ran = Ran.MAYBE
         self._release()
