--- a/features/steps/property_steps.py
+++ b/features/steps/property_steps.py
@@ -579,7 +579,7 @@
         before = "held" if lease is not None and lease.holder else "free"
         record = {"format": 1, "kind": "lease", "id": f"record-{offset}", "duty": "duty"}
         record |= {"holder": "d", "action": trigger, "term_seconds": 1.0}
-        record |= {"previous": -1 if lease is None else lease.last}
+        record |= {"previous": -1 if lease is None else lease.last_offset}
         table.apply(offset, parse_control_record(record))
         lease = table.get("duty")
         yield before, trigger, "held" if lease is not None and lease.holder else "free"
--- a/src/brassdrum/daemon/admin.py
+++ b/src/brassdrum/daemon/admin.py
@@ -172,7 +172,7 @@
             {"offset": item.offset, "reason": item.reason} for item in list(fold.skipped)[-5:]
         ],
         "duties": [
-            {"duty": lease.duty, "holder": lease.holder, "fence": lease.fence}
+            {"duty": lease.duty, "holder": lease.holder, "fence": lease.fencing_token}
             for lease in fold.leases.all()
         ],
     }
--- a/src/brassdrum/leadership/holder.py
+++ b/src/brassdrum/leadership/holder.py
@@ -10,7 +10,7 @@
 from brassdrum.clock import Clock
 from brassdrum.contracts.records import CONTROL_STREAM, LeaseRecord
 from brassdrum.errors import PlatformUnavailableError
-from brassdrum.leadership.lease import Challenger, Lease
+from brassdrum.leadership.lease import Lease, LeaseExpiryDetector
 from brassdrum.logservice.log import Log
 
 __all__ = ["DutyHolder"]
@@ -40,7 +40,7 @@
         self._lease = lease
         self._log_answers = log_answers
         self._term = term_seconds
-        self._challenger = Challenger()
+        self._expiry_detector = LeaseExpiryDetector()
         self._sent_by_offset: OrderedDict[int, float] = OrderedDict()
         self._last_sent = float("-inf")
 
@@ -53,10 +53,10 @@
         lease = self._lease()
         if lease is None or lease.holder != self._daemon:
             return None
-        sent = self._sent_by_offset.get(lease.last)
+        sent = self._sent_by_offset.get(lease.last_offset)
         if sent is None or self._clock.monotonic() - sent >= self._term:
             return None
-        return lease.fence
+        return lease.fencing_token
 
     def step(self) -> None:
         """Renew or claim when it is time."""
@@ -66,7 +66,9 @@
             if now - self._last_sent >= self._term / _RENEWALS_PER_TERM:
                 self._append("renew", lease)
             return
-        if self._challenger.may_claim(self._duty, lease, now, log_answers=self._log_answers()):
+        if self._expiry_detector.may_claim(
+            self._duty, lease, now, log_available=self._log_answers()
+        ):
             if now - self._last_sent < self._term / _RENEWALS_PER_TERM:
                 return
             self._append("claim", lease)
@@ -85,7 +87,7 @@
             duty=self._duty,
             holder=self._daemon,
             action=action,  # type: ignore[arg-type]
-            previous=-1 if lease is None else lease.last,
+            previous=-1 if lease is None else lease.last_offset,
             term_seconds=self._term,
         )
         self._last_sent = self._clock.monotonic()
