--- a/features/steps/property_steps.py
+++ b/features/steps/property_steps.py
@@ -32,7 +32,7 @@
     PlatformUnavailableError,
     ResumeRefusedError,
 )
-from brassdrum.leadership.holder import DutyHolder
+from brassdrum.leadership.holder import LeaseManager
 from brassdrum.leadership.lease import LeaseTable
 from brassdrum.logservice.log import LogPage
 from brassdrum.logservice.tail import Tail
@@ -337,7 +337,7 @@
 
     def __init__(self, name, log, clock):
         self.table, self.read, self._log = LeaseTable(), 0, log
-        self.holder = DutyHolder(
+        self.holder = LeaseManager(
             "duty", name, log, clock, lambda: self.table.get("duty"), lambda: True, 10.0
         )
 
@@ -370,7 +370,7 @@
                 parties[number].holder.step()
             elif log.late:
                 log.records.append(log.late.pop(0))
-            holders = [party.holder.fence() for party in parties]
+            holders = [party.holder.fencing_token() for party in parties]
             assert holders.count(None) >= 1, holders
 
     check()
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -15,7 +15,7 @@
 from brassdrum.gateway.model import Bounds
 from brassdrum.gateway.net.loop import EventLoop
 from brassdrum.gateway.peering.peer_messages import PeerStatus
-from brassdrum.leadership.holder import DutyHolder
+from brassdrum.leadership.holder import LeaseManager
 from brassdrum.leadership.lease import Lease
 from features.gateway_world import FakeStore, engine_entry
 
@@ -89,17 +89,17 @@
 @given("a daemon there holds a lease of {seconds:g} seconds")
 def step_lease(context, seconds):
     context.lease = None
-    context.holder = DutyHolder(
+    context.holder = LeaseManager(
         "duty", "daemon-1", StubLog(), context.clock, lambda: context.lease, lambda: True, seconds
     )
-    context.holder._append("claim", None)
+    context.holder._append_record("claim", None)
     context.lease = Lease("duty", "daemon-1", 1, 7, seconds)
-    assert context.holder.fence() is not None
+    assert context.holder.fencing_token() is not None
 
 
 @then("the lease is no longer held")
 def step_not_held(context):
-    assert context.holder.fence() is None
+    assert context.holder.fencing_token() is None
 
 
 def create_follower(context, clock):
--- a/src/brassdrum/daemon/main.py
+++ b/src/brassdrum/daemon/main.py
@@ -27,7 +27,7 @@
 from brassdrum.daemon.routes import make_router
 from brassdrum.daemon.sharing import EndpointGossip
 from brassdrum.daemon.watch import ExchangeWatchdog
-from brassdrum.leadership.holder import DutyHolder
+from brassdrum.leadership.holder import LeaseManager
 from brassdrum.leadership.lease import Lease
 from brassdrum.logservice.hosts import HttpHostList
 from brassdrum.logservice.log import HttpLog
@@ -132,7 +132,7 @@
             self._cost,
         )
         self._router = make_router(self.core, self.gossip, self.not_ready)
-        self._duty = DutyHolder(
+        self._duty = LeaseManager(
             _CHECKPOINT_DUTY,
             settings.name,
             self._log,
@@ -145,7 +145,7 @@
             self._log,
             self._clock,
             self._control.with_fold,
-            lambda: self._duty.fence() is not None,
+            lambda: self._duty.fencing_token() is not None,
             settings.checkpoint_seconds,
         )
         self._loops = BackgroundLoops(settings.name)
--- a/src/brassdrum/leadership/__init__.py
+++ b/src/brassdrum/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one daemon alone performs, held under leases in the platform's log."""
+"""Leader election: leases in the log service for duties that one daemon performs at a time."""
