--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -85,7 +85,9 @@
 
 @then("a keyed hold is refused with {code} and was not run")
 def step_hold_refused(context, code):
-    eventually(lambda: not context.site.daemons[0].core.claims.shards[0].tail.answers, "log down")
+    eventually(
+        lambda: not context.site.daemons[0].core.claims.shards[0].tail.log_available, "log down"
+    )
     answer = hold(context, "refused-hold")
     assert answer.error["code"] == code and answer.error["ran"] == "no", answer
     assert context.site.services[0].runs_by_id["refused-hold"] == 0
--- a/features/steps/property_steps.py
+++ b/features/steps/property_steps.py
@@ -460,10 +460,10 @@
     tail.step()
     log.failing = True
     tail.step()
-    assert not tail.answers
+    assert not tail.log_available
     log.failing = False
     tail.step()
-    assert tail.answers
+    assert tail.log_available
     tail.step()
     assert [wait > 0 for wait in log.waits] == [False, True, True, False, True], log.waits
 
--- a/src/brassdrum/daemon/control.py
+++ b/src/brassdrum/daemon/control.py
@@ -81,7 +81,7 @@
     @property
     def log_answers(self) -> bool:
         """Return whether the log answered the last read."""
-        return self._tail.answers
+        return self._tail.log_available
 
     @property
     def revision(self) -> int:
@@ -113,7 +113,7 @@
 
     def pause(self) -> float:
         """Return the seconds until the next step."""
-        return self._tail.pause()
+        return self._tail.retry_delay()
 
     def with_fold(self, function: Callable[[ControlFold], object]) -> object:
         """Call a function on the fold of the log while nothing else changes it."""
--- a/src/brassdrum/daemon/main.py
+++ b/src/brassdrum/daemon/main.py
@@ -232,7 +232,7 @@
         loops = self._loops
         loops.every("control", self._control.pause, self._control.step)
         for shard in self._claims.shards:
-            loops.every("claims", shard.tail.pause, shard.tail.step)
+            loops.every("claims", shard.tail.retry_delay, shard.tail.step)
             loops.every("appender", lambda: 0.0, shard.appender.step)
         loops.every("gossip", self.gossip.pause, self.gossip.step)
         loops.every("limits", lambda: settings.gossip_seconds, self._limits.renew_slices)
--- a/src/brassdrum/logservice/tail.py
+++ b/src/brassdrum/logservice/tail.py
@@ -1,4 +1,4 @@
-"""Follow one stream of the log and hand its records on in order."""
+"""Read one stream of the log service continuously, in order."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 __all__ = ["Tail"]
 
 _logger = logging.getLogger(__name__)
-_FIRST_PAUSE = 0.05
-_LONGEST_PAUSE = 2.0
+_MIN_RETRY_DELAY_SECONDS = 0.05
+_MAX_RETRY_DELAY_SECONDS = 2.0
 
 
 class Tail:
-    """Read a stream step by step; remember whether the log answers and how far it was read."""
+    """Reads a stream page by page and tracks the availability of the log service."""
 
     def __init__(
         self,
@@ -39,43 +39,44 @@
         self._era: int | None = None
         self._wait = wait
         self._failures = 0
-        self._answered_at: float | None = None
+        self._last_success_at: float | None = None
         self._reached_end = False
 
     @property
-    def answers(self) -> bool:
+    def log_available(self) -> bool:
         """Return whether the last read succeeded."""
-        return self._failures == 0 and self._answered_at is not None
+        return self._failures == 0 and self._last_success_at is not None
 
     @property
     def caught_up(self) -> bool:
-        """Return whether the end of the stream was reached once in its present era."""
+        """Return whether the end of the stream was reached in the current era."""
         return self._reached_end
 
     def step(self) -> None:
-        """Read one page and hand it on."""
+        """Read one page and pass it to the callback."""
         try:
-            # After a failure the log is asked without waiting, so that its return is seen at once.
+            # After a failure, don't use a long poll, so that recovery is noticed at once.
             wait = self._wait if self._reached_end and self._failures == 0 else 0.0
             page = self._log.read(self._stream, self._next_offset(), wait)
         except PlatformUnavailableError as error:
             if self._failures == 0:
                 _logger.warning(
-                    "log not readable", extra={"stream": self._stream, "reason": str(error)}
+                    "failed to read from the log service",
+                    extra={"stream": self._stream, "reason": str(error)},
                 )
             self._failures += 1
             return
         self._failures = 0
-        self._answered_at = self._clock.monotonic()
+        self._last_success_at = self._clock.monotonic()
         if self._era is not None and page.era < self._era:
-            # An answer that was on its way when the log came back from a copy.
+            # A delayed response from before the log was restored from a backup.
             return
-        returned = self._era is not None and page.era > self._era
+        restored = self._era is not None and page.era > self._era
         self._era = page.era
-        if returned:
+        if restored:
             self._reached_end = False
             _logger.error(
-                "log came back from a copy", extra={"stream": self._stream, "era": page.era}
+                "log was restored from a backup", extra={"stream": self._stream, "era": page.era}
             )
             if self._on_restored is not None:
                 self._on_restored(page)
@@ -84,9 +85,11 @@
         if page.next_offset >= page.end:
             self._reached_end = True
 
-    def pause(self) -> float:
-        """Return how long to wait before the next step, with full jitter after failures."""
+    def retry_delay(self) -> float:
+        """Return the seconds until the next step: 0, or exponential backoff with jitter."""
         if self._failures == 0:
             return 0.0
-        longest = min(_LONGEST_PAUSE, _FIRST_PAUSE * 2 ** min(self._failures, 10))
-        return random.uniform(_FIRST_PAUSE, longest)
+        max_delay = min(
+            _MAX_RETRY_DELAY_SECONDS, _MIN_RETRY_DELAY_SECONDS * 2 ** min(self._failures, 10)
+        )
+        return random.uniform(_MIN_RETRY_DELAY_SECONDS, max_delay)
--- a/src/brassdrum/outcomes/claimer.py
+++ b/src/brassdrum/outcomes/claimer.py
@@ -102,7 +102,7 @@
         claim holds the key, and ``ClaimUnavailableError`` if the log is unavailable. In all these
         cases this request was not run.
         """
-        if not self.tail.answers or not self.tail.caught_up:
+        if not self.tail.log_available or not self.tail.caught_up:
             raise ClaimUnavailableError(
                 "The log is unavailable; the request was not run.",
                 retry_after=_LOG_UNAVAILABLE_RETRY_SECONDS,
