--- a/src/brassdrum/cli/documents.py
+++ b/src/brassdrum/cli/documents.py
@@ -170,9 +170,9 @@
 def _history(log: HttpLog, name: str | None):
     fold = ControlFold()
     page = log.read(CONTROL_STREAM, 0)
-    if page.earliest > 0:
+    if page.earliest_offset > 0:
         raise PlatformUnavailableError(
-            f"The log has forgotten all before offset {page.earliest}.",
+            f"The log has forgotten all before offset {page.earliest_offset}.",
             remedy="Use 'contracts list' for what is in force; older history is gone.",
         )
     while True:
@@ -189,7 +189,7 @@
                 "documents": ", ".join(names),
                 "result": "accepted" if judgement.accepted else f"refused: {judgement.reason}",
             }
-        if page.next_offset >= page.end:
+        if page.next_offset >= page.end_offset:
             return
         page = log.read(CONTROL_STREAM, page.next_offset)
 
--- a/src/brassdrum/daemon/control.py
+++ b/src/brassdrum/daemon/control.py
@@ -44,7 +44,7 @@
             if best is None or checkpoint.through > best.through:
                 best = checkpoint
         offset = page.next_offset
-        if offset >= page.end:
+        if offset >= page.end_offset:
             return best
 
 
@@ -141,19 +141,19 @@
         """
         with self._lock:
             self._restored = ControlFold()
-            self._restored_end = page.end
+            self._restored_end = page.end_offset
         _logger.error("what is in force stays until something is published to the restored log")
         try:
             checkpoint = best_checkpoint(self._log)
         except PlatformUnavailableError as error:
             _logger.warning("no checkpoint read", extra={"reason": error.message})
             return
-        if checkpoint is not None and checkpoint.through < page.end:
+        if checkpoint is not None and checkpoint.through < page.end_offset:
             with self._lock:
                 self._restored.load(checkpoint)
 
     def _follow_restored(self, restored: ControlFold, page: LogPage) -> None:
-        if page.earliest > restored.next_offset:
+        if page.earliest_offset > restored.next_offset:
             self._note_gap(page)
             return
         for record in page.records:
@@ -204,7 +204,7 @@
             if self._restored is not None:
                 self._follow_restored(self._restored, page)
                 return
-            if page.earliest > self._fold.next_offset:
+            if page.earliest_offset > self._fold.next_offset:
                 self._note_gap(page)
                 return
             revision = self._fold.revision
@@ -220,7 +220,7 @@
         if not self._gap:
             _logger.error(
                 "the log forgot records before they were read",
-                extra={"next": self._fold.next_offset, "earliest": page.earliest},
+                extra={"next": self._fold.next_offset, "earliest": page.earliest_offset},
             )
         self._gap = True
 
--- a/src/brassdrum/logservice/log.py
+++ b/src/brassdrum/logservice/log.py
@@ -1,8 +1,8 @@
-"""Append to and read from the platform's log service.
+"""Client of the platform's log service.
 
-Assumed of the platform: append and read-from-offset only, no conditional append; offsets of a
-stream start at 0 and go back only when the log returns from a copy, which its era tells; each
-record gets the log's own time.
+The service supports append and read from an offset, but no conditional append. Offsets of a stream
+start at 0 and decrease only when the log is restored from a backup, which increments its era. The
+service sets the time of each record.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 __all__ = ["HttpLog", "Log", "LogPage", "LogRecord"]
 
-_PAGE_RECORDS = 1000
-# The log does not have the offset that was asked for; the answer says what it has.
-_GONE = 410
+_MAX_RECORDS_PER_PAGE = 1000
+# The requested offset is not in the log; the body has the same form as for status 200.
+_HTTP_GONE = 410
 
 
 @dataclass(frozen=True, slots=True)
 class LogRecord:
-    """Hold one record with its offset and the log's time in seconds since the epoch."""
+    """A record with its offset and the service's time in seconds since the epoch."""
 
     offset: int
     time: float
@@ -33,36 +33,37 @@
 
 @dataclass(frozen=True, slots=True)
 class LogPage:
-    """Hold some records, the earliest offset retained and the next to read.
+    """Result of a read: records, the retained range of offsets and the next offset to read.
 
-    ``era`` counts how often the log came back from a copy that may lack its last seconds.
+    ``era`` counts restores of the log from a backup, which may lack the latest records.
     """
 
-    earliest: int
+    earliest_offset: int
     next_offset: int
-    end: int
+    end_offset: int
     records: tuple[LogRecord, ...]
     era: int = 0
 
 
 class Log(Protocol):
-    """Append records to streams and read them back."""
+    """Interface of the log service."""
 
     def append(self, stream: str, values: Sequence[object]) -> int:
-        """Append records together and return the first one's offset.
+        """Append records in one request and return the offset of the first.
 
-        Raises ``PlatformUnavailableError``; the records may then be in the log, or arrive later.
+        After ``PlatformUnavailableError`` the records may be in the log, or be added later.
         """
 
     def read(self, stream: str, start: int, wait: float = 0.0) -> LogPage:
-        """Return records from an offset on, waiting a while for the first.
+        """Return records from ``start`` on, waiting up to ``wait`` seconds for the first.
 
-        Beyond the end, where a copy left off, it returns an empty page with the present era.
+        If ``start`` is beyond the end, as after a restore, the page is empty and has the current
+        era.
         """
 
 
 class HttpLog:
-    """Reach the log service by HTTP."""
+    """Accesses the log service over HTTP."""
 
     def __init__(
         self, url: str, timeout: float, on_call: Callable[[int], None] | None = None
@@ -71,14 +72,16 @@
         self._timeout = timeout
 
     def append(self, stream: str, values: Sequence[object]) -> int:
-        """Append records together and return the first one's offset."""
+        """Append records in one request and return the offset of the first."""
         body = json.dumps({"records": list(values)}, separators=(",", ":")).encode()
         content = self._call("POST", f"/v1/streams/{stream}/records", body, self._timeout)
         return int(content["first_offset"])
 
     def read(self, stream: str, start: int, wait: float = 0.0) -> LogPage:
-        """Return records from an offset on, waiting a while for the first."""
-        path = f"/v1/streams/{stream}/records?from={start}&limit={_PAGE_RECORDS}&wait={wait}"
+        """Return records from ``start`` on, waiting up to ``wait`` seconds for the first."""
+        path = (
+            f"/v1/streams/{stream}/records?from={start}&limit={_MAX_RECORDS_PER_PAGE}&wait={wait}"
+        )
         content = self._call("GET", path, None, self._timeout + wait)
         records = tuple(
             LogRecord(item["offset"], item["time"], item["value"]) for item in content["records"]
@@ -89,12 +92,14 @@
     def _call(self, method: str, path: str, body: bytes | None, timeout: float) -> dict:
         headers = {"Content-Type": "application/json"} if body is not None else {}
         try:
-            status, answer = self._pool.call(method, path, body, headers, timeout=timeout)
+            status, response_body = self._pool.call(method, path, body, headers, timeout=timeout)
         except (ConnectFailedError, ExchangeFailedError) as error:
-            raise PlatformUnavailableError(f"The log service did not answer: {error}.") from error
-        if status not in (200, _GONE):
-            raise PlatformUnavailableError(f"The log service answered with status {status}.")
+            raise PlatformUnavailableError(
+                f"Request to the log service failed: {error}."
+            ) from error
+        if status not in (200, _HTTP_GONE):
+            raise PlatformUnavailableError(f"The log service returned status {status}.")
         try:
-            return json.loads(answer)
+            return json.loads(response_body)
         except ValueError as error:
-            raise PlatformUnavailableError("The log service sent no JSON.") from error
+            raise PlatformUnavailableError("The log service returned invalid JSON.") from error
--- a/src/brassdrum/logservice/publish.py
+++ b/src/brassdrum/logservice/publish.py
@@ -39,14 +39,14 @@
     """Apply what the log has beyond the fold."""
     while True:
         page = log.read(CONTROL_STREAM, fold.next_offset, wait)
-        if page.earliest > fold.next_offset:
+        if page.earliest_offset > fold.next_offset:
             raise PlatformUnavailableError(
                 "The log forgot records and holds no checkpoint that covers them.",
                 remedy="Wait until a daemon wrote a checkpoint, then try again.",
             )
         for record in page.records:
             fold.apply(record.offset, record.value)
-        if page.next_offset >= page.end or fold.needs_upgrade is not None:
+        if page.next_offset >= page.end_offset or fold.needs_upgrade is not None:
             return
 
 
--- a/src/brassdrum/logservice/tail.py
+++ b/src/brassdrum/logservice/tail.py
@@ -82,7 +82,7 @@
                 self._on_restored(page)
             return
         self._on_page(page)
-        if page.next_offset >= page.end:
+        if page.next_offset >= page.end_offset:
             self._reached_end = True
 
     def retry_delay(self) -> float:
--- a/src/brassdrum/outcomes/claimer.py
+++ b/src/brassdrum/outcomes/claimer.py
@@ -225,12 +225,12 @@
     def _apply(self, page: LogPage) -> None:
         with self._changed:
             # Truncated records have expired: the window is shorter than the log's retention.
-            self.fold.next_offset = max(self.fold.next_offset, page.earliest)
+            self.fold.next_offset = max(self.fold.next_offset, page.earliest_offset)
             for record in page.records:
                 self.fold.apply(record.offset, record.time, record.value)
                 if self._ids_since_restore is not None and isinstance(record.value, dict):
                     self._ids_since_restore.add(str(record.value.get("id")))
-            if self._ids_since_restore is not None and page.next_offset >= page.end:
+            if self._ids_since_restore is not None and page.next_offset >= page.end_offset:
                 self._rewrite_missing(self._ids_since_restore)
                 self._ids_since_restore = None
             self._changed.notify_all()
