--- a/src/brassdrum/logservice/hosts.py
+++ b/src/brassdrum/logservice/hosts.py
@@ -1,4 +1,4 @@
-"""Read the platform's list of live and leaving hosts, which lags."""
+"""Client of the platform's list of live and leaving hosts, which may be out of date."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """Describe one host; daemons carry addresses, endpoints their name."""
+    """An entry of the host list; the addresses are set for daemons only."""
 
     name: str
     role: str
@@ -25,14 +25,14 @@
 
 
 class HostList(Protocol):
-    """List hosts."""
+    """Source of the host list."""
 
     def read(self) -> list[Host]:
-        """Return all hosts, or raise ``PlatformUnavailableError``; a failure is no empty list."""
+        """Return all hosts; raise ``PlatformUnavailableError`` if the list cannot be read."""
 
 
 class HttpHostList:
-    """Reach the host list by HTTP."""
+    """Reads the host list over HTTP."""
 
     def __init__(
         self, url: str, timeout: float, on_call: Callable[[int], None] | None = None
@@ -40,20 +40,22 @@
         self._pool = HttpPool(url, timeout, on_call)
 
     def read(self) -> list[Host]:
-        """Return all hosts, or raise ``PlatformUnavailableError``."""
+        """Return all hosts; raise ``PlatformUnavailableError`` if the list cannot be read."""
         try:
             status, body = self._pool.call("GET", "/v1/hosts")
         except (ConnectFailedError, ExchangeFailedError) as error:
-            raise PlatformUnavailableError(f"The host list did not answer: {error}.") from error
+            raise PlatformUnavailableError(f"Request for the host list failed: {error}.") from error
         if status != 200:
-            raise PlatformUnavailableError(f"The host list answered with status {status}.")
+            raise PlatformUnavailableError(f"The host list service returned status {status}.")
         try:
-            return [_parse(item) for item in json.loads(body)["hosts"]]
+            return [_parse_host(item) for item in json.loads(body)["hosts"]]
         except (ValueError, KeyError, TypeError) as error:
-            raise PlatformUnavailableError(f"The host list sent no list: {error}.") from error
+            raise PlatformUnavailableError(
+                f"The host list response is malformed: {error}."
+            ) from error
 
 
-def _parse(item: dict[str, str]) -> Host:
+def _parse_host(item: dict[str, str]) -> Host:
     return Host(
         name=str(item["name"]),
         role=str(item["role"]),
