--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -13,7 +13,7 @@
 from brassdrum.cli import main
 from brassdrum.contracts.records import CHECKPOINT_STREAM, CONTROL_STREAM
 from brassdrum.daemon.main import Daemon
-from brassdrum.logservice.publish import Publisher, read_control
+from brassdrum.logservice.publish import Publisher, read_control_state
 from brassdrum.standins.site import MODEL
 from features.steps.caller_steps import completion_body
 from features.steps.site_steps import caller, log_of, start_site
@@ -72,7 +72,7 @@
 def step_once(context):
     assert context.judgement.accepted
     context.site.platform.faults.delay_appends_seconds = 0.0
-    fold = read_control(log_of(context))
+    fold = read_control_state(log_of(context))
     accepted = [item for item in fold.judgements_by_id.values() if item.operator == "anna"]
     assert len(accepted) == 1 and accepted[0].accepted
 
--- a/src/brassdrum/cli/documents.py
+++ b/src/brassdrum/cli/documents.py
@@ -20,7 +20,7 @@
 from brassdrum.errors import InvalidDocumentError, PlatformUnavailableError
 from brassdrum.logservice.hosts import HttpHostList
 from brassdrum.logservice.log import HttpLog
-from brassdrum.logservice.publish import Publisher, read_control, revisions_on_daemons
+from brassdrum.logservice.publish import Publisher, fetch_daemon_revisions, read_control_state
 from brassdrum.settings import (
     DaemonSettings,
     EngineStandinSettings,
@@ -108,7 +108,7 @@
     hosts = HttpHostList(options.platform, _TIMEOUT_SECONDS)
     started = time.monotonic()
     while True:
-        daemons = revisions_on_daemons(hosts, operator_token())
+        daemons = fetch_daemon_revisions(hosts, operator_token())
         behind = [d for d in daemons if d.revision is None or d.revision < revision]
         seconds = time.monotonic() - started
         if daemons and not behind:
@@ -133,7 +133,7 @@
 
 
 def _run_list(options: argparse.Namespace) -> int:
-    rows = _rows(read_control(HttpLog(options.platform, _TIMEOUT_SECONDS)))
+    rows = _rows(read_control_state(HttpLog(options.platform, _TIMEOUT_SECONDS)))
     if options.json:
         print_json(rows)
         return 0
@@ -145,7 +145,7 @@
 
 
 def _run_show(options: argparse.Namespace) -> int:
-    fold = read_control(HttpLog(options.platform, _TIMEOUT_SECONDS))
+    fold = read_control_state(HttpLog(options.platform, _TIMEOUT_SECONDS))
     for key, document in fold.documents_by_key.items():
         if options.name in (key.name, str(key)):
             print_json({"revision": document.revision, "body": document.body})
--- a/src/brassdrum/logservice/publish.py
+++ b/src/brassdrum/logservice/publish.py
@@ -1,4 +1,4 @@
-"""Publish documents and learn what became of them, through lost answers and races."""
+"""Publish documents and read back whether they were accepted."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
 from brassdrum.logservice.hosts import Host, HostList
 from brassdrum.logservice.log import Log
 
-__all__ = ["DaemonRevision", "Publisher", "read_control", "revisions_on_daemons"]
+__all__ = ["DaemonRevision", "Publisher", "read_control_state", "fetch_daemon_revisions"]
 
 _logger = logging.getLogger(__name__)
-_LONGEST_SECONDS = 30.0
-_PAUSE_SECONDS = 0.2
-_READ_WAIT_SECONDS = 0.5
+_PUBLISH_TIMEOUT_SECONDS = 30.0
+_RETRY_DELAY_SECONDS = 0.2
+_LONG_POLL_SECONDS = 0.5
 
 
-def read_control(log: Log) -> ControlFold:
-    """Return the state that follows from the log as it is now."""
+def read_control_state(log: Log) -> ControlFold:
+    """Return the control state at the current end of the log."""
     fold = ControlFold()
     checkpoint = best_checkpoint(log)
     if checkpoint is not None:
         fold.load(checkpoint)
-    follow(log, fold)
+    apply_new_records(log, fold)
     return fold
 
 
-def follow(log: Log, fold: ControlFold, wait: float = 0.0) -> None:
-    """Apply what the log has beyond the fold."""
+def apply_new_records(log: Log, fold: ControlFold, wait: float = 0.0) -> None:
+    """Apply all records of the log that the fold does not include yet."""
     while True:
         page = log.read(CONTROL_STREAM, fold.next_offset, wait)
         if page.earliest_offset > fold.next_offset:
             raise PlatformUnavailableError(
-                "The log forgot records and holds no checkpoint that covers them.",
-                remedy="Wait until a daemon wrote a checkpoint, then try again.",
+                "The log has dropped records that no checkpoint covers.",
+                remedy="Wait until a daemon has written a checkpoint, then try again.",
             )
         for record in page.records:
             fold.apply(record.offset, record.value)
@@ -51,7 +51,7 @@
 
 
 class Publisher:
-    """Append documents and read on until the log tells their judgement."""
+    """Appends documents to the log and reads it until they are accepted or rejected."""
 
     def __init__(self, log: Log, operator: str, clock: Clock | None = None) -> None:
         self._clock = clock or SystemClock()
@@ -63,26 +63,26 @@
     ) -> Judgement:
         """Publish documents together.
 
-        Without a base each document replaces the revision in the log now. A lost answer is no
-        reason to guess: the record has an id, is appended again with the same one, and the log's
-        order says what became of it. Raises ``PlatformUnavailableError`` when the log stays silent.
+        Without ``base``, each document replaces its current revision. The record is appended again
+        with the same id until the log shows its result, so a lost response is harmless. Raises
+        ``PlatformUnavailableError`` after a time limit.
         """
-        fold = read_control(self._log)
-        record = self._record(documents, fold, base)
-        limit = self._clock.monotonic() + _LONGEST_SECONDS
+        fold = read_control_state(self._log)
+        record = self._build_record(documents, fold, base)
+        give_up_at = self._clock.monotonic() + _PUBLISH_TIMEOUT_SECONDS
         while True:
             self._append(record)
-            judgement = self._judgement(record.id, fold)
+            judgement = self._read_judgement(record.id, fold)
             if judgement is not None:
                 return judgement
-            if self._clock.monotonic() > limit:
+            if self._clock.monotonic() > give_up_at:
                 raise PlatformUnavailableError(
-                    "The log did not say whether it has the documents.",
-                    remedy="Run 'contracts history' later: the publish may still take effect.",
+                    "Could not read from the log whether the documents were accepted.",
+                    remedy="Run 'contracts history' later: the documents may still be accepted.",
                 )
-            self._clock.sleep(_PAUSE_SECONDS)
+            self._clock.sleep(_RETRY_DELAY_SECONDS)
 
-    def _record(
+    def _build_record(
         self, documents: list[Contract | Configuration], fold: ControlFold, base: int | None
     ) -> Publish:
         published = []
@@ -92,7 +92,7 @@
                 PublishedDocument(
                     kind=document.kind,
                     name=name,
-                    base=_revision(fold, document.kind, name) if base is None else base,
+                    base=_current_revision(fold, document.kind, name) if base is None else base,
                     body=document.model_dump(mode="json"),
                 )
             )
@@ -108,17 +108,19 @@
         try:
             self._log.append(CONTROL_STREAM, [record.model_dump(mode="json")])
         except PlatformUnavailableError as error:
-            _logger.warning("append not confirmed", extra={"reason": error.message})
+            _logger.warning(
+                "append of published documents not confirmed", extra={"reason": error.message}
+            )
 
-    def _judgement(self, record_id: str, fold: ControlFold) -> Judgement | None:
+    def _read_judgement(self, record_id: str, fold: ControlFold) -> Judgement | None:
         try:
-            follow(self._log, fold, _READ_WAIT_SECONDS)
+            apply_new_records(self._log, fold, _LONG_POLL_SECONDS)
         except PlatformUnavailableError as error:
-            _logger.warning("log not readable", extra={"reason": error.message})
+            _logger.warning("failed to read from the log service", extra={"reason": error.message})
         return fold.judgements_by_id.get(record_id)
 
 
-def _revision(fold: ControlFold, kind: str, name: str) -> int:
+def _current_revision(fold: ControlFold, kind: str, name: str) -> int:
     for key, document in fold.documents_by_key.items():
         if key == DocumentKey(key.kind, name) and key.kind.value == kind:
             return document.revision
@@ -127,24 +129,24 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonRevision:
-    """Tell which revision a daemon holds; None when it does not answer."""
+    """The revision in force on a daemon; ``revision`` is None if the status request failed."""
 
     daemon: str
     revision: int | None
     not_ready: str | None
 
 
-def revisions_on_daemons(hosts: HostList, token: str | None) -> list[DaemonRevision]:
-    """Ask every live daemon of the host list for the revision that it has in force."""
-    found = []
+def fetch_daemon_revisions(hosts: HostList, token: str | None) -> list[DaemonRevision]:
+    """Return the revision in force on each live daemon of the host list."""
+    revisions = []
     for host in hosts.read():
         if host.role != "daemon" or host.leaving:
             continue
-        found.append(_ask(host, token))
-    return found
+        revisions.append(_fetch_revision(host, token))
+    return revisions
 
 
-def _ask(host: Host, token: str | None) -> DaemonRevision:
+def _fetch_revision(host: Host, token: str | None) -> DaemonRevision:
     headers = {} if token is None else {"Brassdrum-Operator-Token": token}
     try:
         status, body = HttpPool(f"http://{host.http_address}", 2.0).call(
