--- a/src/brassdrum/logservice/__init__.py
+++ b/src/brassdrum/logservice/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform: log service, host list, weight store."""
+"""Clients of the platform's log service and host list."""
