--- a/features/steps/property_steps.py
+++ b/features/steps/property_steps.py
@@ -32,7 +32,7 @@
     PlatformUnavailableError,
     ResumeRefusedError,
 )
-from brassdrum.leadership.holder import DutyHolder
+from brassdrum.leadership.holder import LeaseManager
 from brassdrum.leadership.lease import LeaseTable
 from brassdrum.logservice.log import LogPage
 from brassdrum.logservice.tail import Tail
@@ -337,7 +337,7 @@
 
     def __init__(self, name, log, clock):
         self.table, self.read, self._log = LeaseTable(), 0, log
-        self.holder = DutyHolder(
+        self.holder = LeaseManager(
             "duty", name, log, clock, lambda: self.table.get("duty"), lambda: True, 10.0
         )
 
@@ -370,7 +370,7 @@
                 parties[number].holder.step()
             elif log.late:
                 log.records.append(log.late.pop(0))
-            holders = [party.holder.fence() for party in parties]
+            holders = [party.holder.fencing_token() for party in parties]
             assert holders.count(None) >= 1, holders
 
     check()
@@ -460,10 +460,10 @@
     tail.step()
     log.failing = True
     tail.step()
-    assert not tail.answers
+    assert not tail.log_available
     log.failing = False
     tail.step()
-    assert tail.answers
+    assert tail.log_available
     tail.step()
     assert [wait > 0 for wait in log.waits] == [False, True, True, False, True], log.waits
 
@@ -579,7 +579,7 @@
         before = "held" if lease is not None and lease.holder else "free"
         record = {"format": 1, "kind": "lease", "id": f"record-{offset}", "duty": "duty"}
         record |= {"holder": "d", "action": trigger, "term_seconds": 1.0}
-        record |= {"previous": -1 if lease is None else lease.last}
+        record |= {"previous": -1 if lease is None else lease.last_offset}
         table.apply(offset, parse_control_record(record))
         lease = table.get("duty")
         yield before, trigger, "held" if lease is not None and lease.holder else "free"
--- a/src/brassdrum/daemon/control.py
+++ b/src/brassdrum/daemon/control.py
@@ -45,7 +45,7 @@
             if best is None or checkpoint.through > best.through:
                 best = checkpoint
         offset = page.next_offset
-        if offset >= page.end:
+        if offset >= page.end_offset:
             return best
 
 
@@ -87,7 +87,7 @@
     @property
     def log_answers(self) -> bool:
         """Return whether the last read of the log succeeded."""
-        return self._tail.answers
+        return self._tail.log_available
 
     @property
     def revision(self) -> int:
@@ -119,7 +119,7 @@
 
     def pause(self) -> float:
         """Return the seconds until the next step."""
-        return self._tail.pause()
+        return self._tail.retry_delay()
 
     def with_fold(self, function: Callable[[ControlFold], object]) -> object:
         """Call a function with the fold of the log while holding the lock."""
@@ -147,7 +147,7 @@
         """
         with self._lock:
             self._restored = ControlFold()
-            self._restored_end = page.end
+            self._restored_end = page.end_offset
         _logger.error(
             "log restored from a backup; configuration stays in force until the next publication"
         )
@@ -158,12 +158,12 @@
                 "cannot read checkpoints of the restored log", extra={"reason": error.message}
             )
             return
-        if checkpoint is not None and checkpoint.through < page.end:
+        if checkpoint is not None and checkpoint.through < page.end_offset:
             with self._lock:
                 self._restored.load(checkpoint)
 
     def _apply_restored(self, restored: ControlFold, page: LogPage) -> None:
-        if page.earliest > restored.next_offset:
+        if page.earliest_offset > restored.next_offset:
             self._report_gap(page)
             return
         for record in page.records:
@@ -216,7 +216,7 @@
             if self._restored is not None:
                 self._apply_restored(self._restored, page)
                 return
-            if page.earliest > self._fold.next_offset:
+            if page.earliest_offset > self._fold.next_offset:
                 self._report_gap(page)
                 return
             revision = self._fold.revision
@@ -234,7 +234,7 @@
         if not self._has_gap:
             _logger.error(
                 "the log trimmed records before this daemon read them",
-                extra={"next": self._fold.next_offset, "earliest": page.earliest},
+                extra={"next": self._fold.next_offset, "earliest": page.earliest_offset},
             )
         self._has_gap = True
 
--- a/src/brassdrum/outcomes/claimer.py
+++ b/src/brassdrum/outcomes/claimer.py
@@ -102,7 +102,7 @@
         claim holds the key, and ``ClaimUnavailableError`` if the log is unavailable. In all these
         cases this request was not run.
         """
-        if not self.tail.answers or not self.tail.caught_up:
+        if not self.tail.log_available or not self.tail.caught_up:
             raise ClaimUnavailableError(
                 "The log is unavailable; the request was not run.",
                 retry_after=_LOG_UNAVAILABLE_RETRY_SECONDS,
@@ -225,12 +225,12 @@
     def _apply(self, page: LogPage) -> None:
         with self._changed:
             # Truncated records have expired: the window is shorter than the log's retention.
-            self.fold.next_offset = max(self.fold.next_offset, page.earliest)
+            self.fold.next_offset = max(self.fold.next_offset, page.earliest_offset)
             for record in page.records:
                 self.fold.apply(record.offset, record.time, record.value)
                 if self._ids_since_restore is not None and isinstance(record.value, dict):
                     self._ids_since_restore.add(str(record.value.get("id")))
-            if self._ids_since_restore is not None and page.next_offset >= page.end:
+            if self._ids_since_restore is not None and page.next_offset >= page.end_offset:
                 self._rewrite_missing(self._ids_since_restore)
                 self._ids_since_restore = None
             self._changed.notify_all()
