--- a/src/brassdrum/daemon/calls.py
+++ b/src/brassdrum/daemon/calls.py
@@ -11,7 +11,7 @@
 from brassdrum.daemon.core import Core, Scope, request_fingerprint
 from brassdrum.daemon.dispatcher import Placement
 from brassdrum.daemon.finishing import RequestLifecycle, handle
-from brassdrum.endpoints.service import ServiceAnswer, ServiceCallRequest
+from brassdrum.endpoints.service import ServiceRequest, ServiceResponse
 from brassdrum.errors import UnknownModelError
 from brassdrum.outcomes.claims import OutcomeRecord
 from brassdrum.wsgi import Request, Response
@@ -100,7 +100,7 @@
             deadline=scope.deadline,
         )
 
-    def _send(self, scope: Scope, placement: Placement, path: str, body: bytes) -> ServiceAnswer:
+    def _send(self, scope: Scope, placement: Placement, path: str, body: bytes) -> ServiceResponse:
         client = self._core.dispatcher.fleet.services_by_name[placement.state.endpoint.name]
         headers = {}
         for name in _FORWARDED_HEADERS:
@@ -111,7 +111,7 @@
         if traceparent is not None:
             headers["traceparent"] = traceparent
         seconds = max(0.05, scope.deadline - self._core.clock.monotonic())
-        request = ServiceCallRequest(scope.request.method, path, body, headers, seconds)
+        request = ServiceRequest(scope.request.method, path, body, headers, seconds)
         with scope.trace.hop("endpoint", endpoint=placement.state.endpoint.name):
             answer = client.call(request)
         self._core.dispatcher.release(placement)
--- a/src/brassdrum/endpoints/engine.py
+++ b/src/brassdrum/endpoints/engine.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from brassdrum.endpoints.endings import lost_answer
+from brassdrum.endpoints.endings import no_response_error
 from brassdrum.errors import (
     BrassdrumError,
     EndpointFailedError,
@@ -144,7 +144,7 @@
                 f"Endpoint {self.name} cannot be reached: {error}."
             ) from error
         except ExchangeFailedError as error:
-            raise lost_answer(self.name, self._pool, error) from error
+            raise no_response_error(self.name, self._pool, error) from error
         if exchange.status == 200:
             return EngineConnection(exchange)
         raise self._refusal(exchange)
@@ -171,7 +171,7 @@
                 on_connected=on_connected,
             )
         except (ConnectFailedError, ExchangeFailedError) as error:
-            raise lost_answer(self.name, self._pool, error) from error
+            raise no_response_error(self.name, self._pool, error) from error
         if exchange.status == 200:
             return EngineConnection(exchange)
         exchange.drop()
--- a/src/brassdrum/endpoints/service.py
+++ b/src/brassdrum/endpoints/service.py
@@ -5,26 +5,26 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from brassdrum.endpoints.endings import lost_answer
+from brassdrum.endpoints.endings import no_response_error
 from brassdrum.errors import EndpointUnreachableError
 from brassdrum.http_pool import ConnectFailedError, ExchangeFailedError, HttpPool
 
-__all__ = ["ServiceAnswer", "ServiceCallRequest", "ServiceClient"]
+__all__ = ["ServiceClient", "ServiceRequest", "ServiceResponse"]
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceCallRequest:
+class ServiceRequest:
     """Hold one call as the caller sent it."""
 
     method: str
     path: str
     body: bytes
     headers: Mapping[str, str]
-    seconds: float
+    timeout_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceAnswer:
+class ServiceResponse:
     """Hold a service's whole answer."""
 
     status: int
@@ -39,7 +39,7 @@
         self.name = name
         self._pool = HttpPool(url)
 
-    def call(self, request: ServiceCallRequest) -> ServiceAnswer:
+    def call(self, request: ServiceRequest) -> ServiceResponse:
         """Return the answer.
 
         Raises ``NoEndpointError`` if nothing was sent, else ``EndpointFailedError``, as
@@ -51,7 +51,7 @@
                 request.path,
                 request.body or None,
                 request.headers,
-                timeout=request.seconds,
+                timeout=request.timeout_seconds,
                 fresh=True,
             )
             body = exchange.read()
@@ -60,6 +60,6 @@
                 f"Endpoint {self.name} cannot be reached: {error}."
             ) from error
         except ExchangeFailedError as error:
-            raise lost_answer(self.name, self._pool, error) from error
+            raise no_response_error(self.name, self._pool, error) from error
         content_type = exchange.header("Content-Type") or "application/octet-stream"
-        return ServiceAnswer(exchange.status, content_type, body)
+        return ServiceResponse(exchange.status, content_type, body)
