--- a/src/brassdrum/daemon/admin.py
+++ b/src/brassdrum/daemon/admin.py
@@ -93,7 +93,7 @@
         held_by_endpoint: dict[str, object] = {}
         for name, engine in self._core.dispatcher.fleet.engines_by_name.items():
             try:
-                held_by_endpoint[name] = engine.held()
+                held_by_endpoint[name] = engine.list_memory_holders()
             except EndpointFailedError as error:
                 held_by_endpoint[name] = {"error": error.message}
         return json_response({"held": held_by_endpoint})
--- a/src/brassdrum/daemon/endpoint_watch.py
+++ b/src/brassdrum/daemon/endpoint_watch.py
@@ -102,9 +102,9 @@
         prefixes = self._dispatcher.fleet.prefixes
         with self._dispatcher.lock:
             for event in events:
-                if event.number > last + 1 and last:
-                    prefixes.missed(engine.name, event.number - last - 1)
-                last = event.number
+                if event.sequence_number > last + 1 and last:
+                    prefixes.missed(engine.name, event.sequence_number - last - 1)
+                last = event.sequence_number
                 if event.stored:
                     prefixes.stored(engine.name, [event.block])
                 else:
--- a/src/brassdrum/daemon/engine_run.py
+++ b/src/brassdrum/daemon/engine_run.py
@@ -144,7 +144,7 @@
         """Make the socket non-blocking and return the events already received."""
         assert self._connection is not None
         self._taken_over = True
-        data = self._connection.take_over()
+        data = self._connection.set_nonblocking()
         return self.feed(data) if data else []
 
     def recover(self) -> None:
@@ -166,7 +166,7 @@
             self._set_connected,
             model=self._identity.model,
             chat=self._identity.chat,
-            seconds=max(0.05, self._times.deadline - self._clock.monotonic()),
+            timeout_seconds=max(0.05, self._times.deadline - self._clock.monotonic()),
         )
         self._assembler.restart()
 
--- a/src/brassdrum/daemon/generation.py
+++ b/src/brassdrum/daemon/generation.py
@@ -266,12 +266,12 @@
         request = EngineRequest(
             path=generation.path,
             body=generation.body,
-            stream=stream,
+            stream_id=stream,
             owner=core.settings.name,
             priority=_priority(placement.work),
-            seconds=max(0.05, scope.deadline - now),
+            timeout_seconds=max(0.05, scope.deadline - now),
             traceparent=scope.trace.traceparent(),
-            reservation=None if lifecycle.group is None else lifecycle.group.id,
+            reservation_id=None if lifecycle.group is None else lifecycle.group.id,
         )
         estimate = core.dispatcher.fleet.estimates_by_model[generation.model]
         expected = estimate.prefill_seconds(generation.prompt_tokens)
--- a/src/brassdrum/daemon/resuming.py
+++ b/src/brassdrum/daemon/resuming.py
@@ -75,7 +75,7 @@
                 on_connected,
                 model=ticket.model,
                 chat=ticket.chat,
-                seconds=max(0.05, deadline - now),
+                timeout_seconds=max(0.05, deadline - now),
             )
 
         return EngineStreamReader(
--- a/src/brassdrum/endpoints/engine.py
+++ b/src/brassdrum/endpoints/engine.py
@@ -40,12 +40,12 @@
 
     path: str
     body: bytes
-    stream: str
+    stream_id: str
     owner: str
     priority: int
-    seconds: float
+    timeout_seconds: float
     traceparent: str | None = None
-    reservation: str | None = None
+    reservation_id: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
 class CacheEvent:
     """Tell that an engine stored or removed a block of its prefix cache."""
 
-    number: int
+    sequence_number: int
     stored: bool
     block: int
 
@@ -89,7 +89,7 @@
             # http.client fail in its own ways (ValueError, AttributeError).
             raise ExchangeFailedError(f"{type(error).__name__}: {error}") from error
 
-    def take_over(self) -> bytes:
+    def set_nonblocking(self) -> bytes:
         """Stop blocking; return what has arrived but was not read yet."""
         self.socket.setblocking(False)
         file = self._exchange.response.fp
@@ -119,22 +119,22 @@
         """
         headers = {
             "Content-Type": "application/json",
-            "X-Stream-Id": request.stream,
+            "X-Stream-Id": request.stream_id,
             "X-Owner": request.owner,
             "X-Priority": str(request.priority),
-            "X-Time-Left": f"{request.seconds:.3f}",
+            "X-Time-Left": f"{request.timeout_seconds:.3f}",
         }
         if request.traceparent:
             headers["traceparent"] = request.traceparent
-        if request.reservation:
-            headers["X-Reservation"] = request.reservation
+        if request.reservation_id:
+            headers["X-Reservation"] = request.reservation_id
         try:
             exchange = self._pool.request(
                 "POST",
                 request.path,
                 request.body,
                 headers,
-                timeout=request.seconds,
+                timeout=request.timeout_seconds,
                 fresh=True,
                 unframed=True,
                 on_connected=on_connected,
@@ -151,21 +151,21 @@
 
     def resume(
         self,
-        stream: str,
-        start: int,
+        stream_id: str,
+        start_index: int,
         on_connected: Callable[[Connected], None],
         *,
         model: str,
         chat: bool,
-        seconds: float,
+        timeout_seconds: float,
     ) -> EngineConnection:
         """Read a stream on from an index, or raise ``EndpointFailedError``."""
-        path = f"/v1/streams/{stream}?from={start}&model={model}&chat={int(chat)}"
+        path = f"/v1/streams/{stream_id}?from={start_index}&model={model}&chat={int(chat)}"
         try:
             exchange = self._pool.request(
                 "GET",
                 path,
-                timeout=seconds,
+                timeout=timeout_seconds,
                 fresh=True,
                 unframed=True,
                 on_connected=on_connected,
@@ -177,9 +177,9 @@
         exchange.drop()
         raise EndpointFailedError(f"Endpoint {self.name} no longer holds the stream.")
 
-    def cancel(self, stream: str) -> bool:
+    def cancel(self, stream_id: str) -> bool:
         """Ask the engine to end a stream; return whether it answered."""
-        return self._answered("POST", f"/v1/streams/{stream}/cancel", b"{}")
+        return self._answered("POST", f"/v1/streams/{stream_id}/cancel", b"{}")
 
     def load(self) -> EngineLoad:
         """Return the engine's report, or raise ``EndpointFailedError``."""
@@ -198,9 +198,9 @@
                 f"Endpoint {self.name} sent no load report: {error}."
             ) from error
 
-    def cache_events(self, after: int) -> list[CacheEvent]:
+    def cache_events(self, after_number: int) -> list[CacheEvent]:
         """Return cache events with numbers above one, or raise ``EndpointFailedError``."""
-        content = self._get(f"/v1/cache/events?from={after}")
+        content = self._get(f"/v1/cache/events?from={after_number}")
         try:
             return [
                 CacheEvent(int(number), kind == "stored", int(block))
@@ -209,18 +209,18 @@
         except (KeyError, TypeError, ValueError) as error:
             raise EndpointFailedError(f"Endpoint {self.name} sent no events: {error}.") from error
 
-    def held(self) -> list[dict]:
+    def list_memory_holders(self) -> list[dict]:
         """Return who holds memory at the engine, or raise ``EndpointFailedError``."""
         return list(self._get("/v1/held").get("held", []))
 
-    def reserve(self, reservation: str, owner: str, tokens: int, seconds: float) -> bool:
+    def reserve(self, reservation_id: str, owner: str, tokens: int, term_seconds: float) -> bool:
         """Reserve memory or renew it; return whether the engine agreed."""
-        body = json.dumps({"owner": owner, "tokens": tokens, "seconds": seconds}).encode()
-        return self._answered("PUT", f"/v1/reservations/{reservation}", body)
+        body = json.dumps({"owner": owner, "tokens": tokens, "seconds": term_seconds}).encode()
+        return self._answered("PUT", f"/v1/reservations/{reservation_id}", body)
 
-    def release(self, reservation: str) -> bool:
+    def release(self, reservation_id: str) -> bool:
         """Free a reservation; return whether the engine answered."""
-        return self._answered("DELETE", f"/v1/reservations/{reservation}", None)
+        return self._answered("DELETE", f"/v1/reservations/{reservation_id}", None)
 
     def _answered(self, method: str, path: str, body: bytes | None) -> bool:
         try:
