--- a/src/brassdrum/daemon/endpoint_watch.py
+++ b/src/brassdrum/daemon/endpoint_watch.py
@@ -106,9 +106,9 @@
                     prefixes.missed(engine.name, event.sequence_number - last - 1)
                 last = event.sequence_number
                 if event.stored:
-                    prefixes.stored(engine.name, [event.block])
+                    prefixes.stored(engine.name, [event.block_hash])
                 else:
-                    prefixes.removed(engine.name, event.block)
+                    prefixes.removed(engine.name, event.block_hash)
             prefixes.heard(engine.name, len(events))
         self._last_event_by_endpoint[engine.name] = last
 
--- a/src/brassdrum/endpoints/engine.py
+++ b/src/brassdrum/endpoints/engine.py
@@ -66,7 +66,7 @@
 
     sequence_number: int
     stored: bool
-    block: int
+    block_hash: int
 
 
 class EngineConnection:
