--- a/src/brassdrum/endpoints/engine.py
+++ b/src/brassdrum/endpoints/engine.py
@@ -1,7 +1,7 @@
-"""Reach one model engine by HTTP.
+"""HTTP client for a model engine.
 
-Assumed of the engines, and kept here only: events carry an SSE id ``STREAM/INDEX``; the headers
-below; a stream outlives its connection for a while, so that it can be read on from an index.
+The engine is expected to send SSE ids of the form ``STREAM/INDEX``, to accept the headers set
+below, and to retain a stream for some time after its connection closes so that it can be resumed.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 __all__ = ["CacheEvent", "EngineClient", "EngineLoad", "EngineRequest", "EngineConnection"]
 
-_CONTROL_SECONDS = 2.0
+_CONTROL_TIMEOUT_SECONDS = 2.0
 _READ_BYTES = 65536
 
 
 @dataclass(frozen=True, slots=True)
 class EngineRequest:
-    """Hold what is sent to an engine; the body goes on unchanged."""
+    """A generation request to an engine; the body is forwarded unchanged."""
 
     path: str
     body: bytes
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """Hold an engine's report; ``at`` is when it was true, by the engine's clock."""
+    """An engine's load report; ``at`` is its timestamp by the engine's clock."""
 
     at: float
     streams: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """Tell that an engine stored or removed a block of its prefix cache."""
+    """The addition or removal of a block in an engine's prefix cache."""
 
     sequence_number: int
     stored: bool
@@ -70,52 +70,55 @@
 
 
 class EngineConnection:
-    """Hold the open response of one stream."""
+    """The open HTTP response of one stream."""
 
     def __init__(self, exchange: Exchange) -> None:
         self._exchange = exchange
 
     @property
     def socket(self) -> socket.socket:
-        """Return the socket, to wait on once the connection was taken over."""
+        """The underlying socket, for polling after ``set_nonblocking``."""
         return self._exchange.socket
 
     def read(self) -> bytes:
-        """Wait for bytes; empty at the end. Raises ``ExchangeFailedError`` when it breaks."""
+        """Block until data arrives and return it; empty at the end of the stream.
+
+        Raises ``ExchangeFailedError`` when the connection fails.
+        """
         try:
             return self._exchange.response.read1(_READ_BYTES)
         except Exception as error:
-            # Besides OSError and HTTPException, a socket that another thread shut down makes
-            # http.client fail in its own ways (ValueError, AttributeError).
+            # http.client may also raise ValueError or AttributeError when another thread shuts
+            # down the socket.
             raise ExchangeFailedError(f"{type(error).__name__}: {error}") from error
 
     def set_nonblocking(self) -> bytes:
-        """Stop blocking; return what has arrived but was not read yet."""
+        """Make the socket non-blocking and return the data already received."""
         self.socket.setblocking(False)
         file = self._exchange.response.fp
         return (file.read1(_READ_BYTES) or b"") if file is not None else b""
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connection without reading the rest of the response."""
         self._exchange.drop()
 
 
 class EngineClient:
-    """Send requests and orders to one engine."""
+    """Sends generation and control requests to one engine."""
 
     def __init__(self, name: str, url: str, on_call: Callable[[int], None] | None = None) -> None:
         self.name = name
         self.url = url
-        self._pool = HttpPool(url, _CONTROL_SECONDS, on_call)
+        self._pool = HttpPool(url, _CONTROL_TIMEOUT_SECONDS, on_call)
 
     def open(
         self, request: EngineRequest, on_connected: Callable[[Connected], None]
     ) -> EngineConnection:
         """Start a stream.
 
-        Raises ``NoEndpointError`` when nothing ran (no connection, or the engine refused before
-        it started), ``InvalidRequestError`` when the engine rejects the body, else
-        ``EndpointFailedError``.
+        Raises ``NoEndpointError`` when nothing ran (the connection failed, or the engine refused
+        the request before starting it), ``InvalidRequestError`` when the engine rejects the
+        request, and ``EndpointFailedError`` otherwise.
         """
         headers = {
             "Content-Type": "application/json",
@@ -147,7 +150,7 @@
             raise no_response_error(self.name, self._pool, error) from error
         if exchange.status == 200:
             return EngineConnection(exchange)
-        raise self._refusal(exchange)
+        raise self._response_error(exchange)
 
     def resume(
         self,
@@ -159,7 +162,7 @@
         chat: bool,
         timeout_seconds: float,
     ) -> EngineConnection:
-        """Read a stream on from an index, or raise ``EndpointFailedError``."""
+        """Resume a stream at an event index, or raise ``EndpointFailedError``."""
         path = f"/v1/streams/{stream_id}?from={start_index}&model={model}&chat={int(chat)}"
         try:
             exchange = self._pool.request(
@@ -175,15 +178,15 @@
         if exchange.status == 200:
             return EngineConnection(exchange)
         exchange.drop()
-        raise EndpointFailedError(f"Endpoint {self.name} no longer holds the stream.")
+        raise EndpointFailedError(f"Endpoint {self.name} no longer has the stream.")
 
     def cancel(self, stream_id: str) -> bool:
-        """Ask the engine to end a stream; return whether it answered."""
-        return self._answered("POST", f"/v1/streams/{stream_id}/cancel", b"{}")
+        """Cancel a stream; return whether the engine confirmed it."""
+        return self._succeeds("POST", f"/v1/streams/{stream_id}/cancel", b"{}")
 
     def load(self) -> EngineLoad:
-        """Return the engine's report, or raise ``EndpointFailedError``."""
-        content = self._get("/v1/load")
+        """Return the engine's load report, or raise ``EndpointFailedError``."""
+        content = self._get_json("/v1/load")
         try:
             return EngineLoad(
                 at=float(content["at"]),
@@ -195,53 +198,55 @@
             )
         except (KeyError, TypeError, ValueError) as error:
             raise EndpointFailedError(
-                f"Endpoint {self.name} sent no load report: {error}."
+                f"Endpoint {self.name} sent an invalid load report: {error}."
             ) from error
 
     def cache_events(self, after_number: int) -> list[CacheEvent]:
-        """Return cache events with numbers above one, or raise ``EndpointFailedError``."""
-        content = self._get(f"/v1/cache/events?from={after_number}")
+        """Return the cache events after a sequence number, or raise ``EndpointFailedError``."""
+        content = self._get_json(f"/v1/cache/events?from={after_number}")
         try:
             return [
                 CacheEvent(int(number), kind == "stored", int(block))
                 for number, kind, block in content["events"]
             ]
         except (KeyError, TypeError, ValueError) as error:
-            raise EndpointFailedError(f"Endpoint {self.name} sent no events: {error}.") from error
+            raise EndpointFailedError(
+                f"Endpoint {self.name} sent invalid cache events: {error}."
+            ) from error
 
     def list_memory_holders(self) -> list[dict]:
-        """Return who holds memory at the engine, or raise ``EndpointFailedError``."""
-        return list(self._get("/v1/held").get("held", []))
+        """List the holders of the engine's KV memory, or raise ``EndpointFailedError``."""
+        return list(self._get_json("/v1/held").get("held", []))
 
     def reserve(self, reservation_id: str, owner: str, tokens: int, term_seconds: float) -> bool:
-        """Reserve memory or renew it; return whether the engine agreed."""
+        """Create or renew a memory reservation; return whether the engine granted it."""
         body = json.dumps({"owner": owner, "tokens": tokens, "seconds": term_seconds}).encode()
-        return self._answered("PUT", f"/v1/reservations/{reservation_id}", body)
+        return self._succeeds("PUT", f"/v1/reservations/{reservation_id}", body)
 
     def release(self, reservation_id: str) -> bool:
-        """Free a reservation; return whether the engine answered."""
-        return self._answered("DELETE", f"/v1/reservations/{reservation_id}", None)
+        """Release a reservation; return whether the engine confirmed it."""
+        return self._succeeds("DELETE", f"/v1/reservations/{reservation_id}", None)
 
-    def _answered(self, method: str, path: str, body: bytes | None) -> bool:
+    def _succeeds(self, method: str, path: str, body: bytes | None) -> bool:
         try:
             status, _ = self._pool.call(method, path, body)
         except (ConnectFailedError, ExchangeFailedError):
             return False
         return status == 200
 
-    def _get(self, path: str) -> dict:
+    def _get_json(self, path: str) -> dict:
         try:
             status, body = self._pool.call("GET", path)
         except (ConnectFailedError, ExchangeFailedError) as error:
-            raise EndpointFailedError(f"Endpoint {self.name} did not answer: {error}.") from error
+            raise EndpointFailedError(f"Endpoint {self.name} did not respond: {error}.") from error
         if status != 200:
-            raise EndpointFailedError(f"Endpoint {self.name} answered with status {status}.")
+            raise EndpointFailedError(f"Endpoint {self.name} responded with status {status}.")
         try:
             return json.loads(body)
         except ValueError as error:
-            raise EndpointFailedError(f"Endpoint {self.name} sent no JSON.") from error
+            raise EndpointFailedError(f"Endpoint {self.name} sent invalid JSON.") from error
 
-    def _refusal(self, exchange: Exchange) -> BrassdrumError:
+    def _response_error(self, exchange: Exchange) -> BrassdrumError:
         status = exchange.status
         try:
             error = json.loads(exchange.read()).get("error", {})
@@ -249,7 +254,9 @@
             error = {}
         message = str(error.get("message", f"status {status}"))
         if status in (400, 404, 422):
-            return InvalidRequestError(f"Endpoint {self.name} rejects the request: {message}")
+            return InvalidRequestError(f"Endpoint {self.name} rejected the request: {message}")
         if status in (409, 429, 503) and error.get("ran") == Ran.NO.value:
-            return NoEndpointError(f"Endpoint {self.name} refused: {message}", ran=Ran.NO)
+            return NoEndpointError(
+                f"Endpoint {self.name} refused the request: {message}", ran=Ran.NO
+            )
         return EndpointFailedError(f"Endpoint {self.name} failed: {message}")
