--- a/src/brassdrum/endpoints/service.py
+++ b/src/brassdrum/endpoints/service.py
@@ -1,4 +1,4 @@
-"""Reach one replica of a plain service by HTTP."""
+"""HTTP client for a replica of a plain service."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceRequest:
-    """Hold one call as the caller sent it."""
+    """A service request, forwarded with the caller's method, path and body."""
 
     method: str
     path: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceResponse:
-    """Hold a service's whole answer."""
+    """A complete response from a service."""
 
     status: int
     content_type: str
@@ -33,17 +33,17 @@
 
 
 class ServiceClient:
-    """Send calls to one service replica, each on a connection of its own."""
+    """Sends requests to one service replica, each on a new connection."""
 
     def __init__(self, name: str, url: str) -> None:
         self.name = name
         self._pool = HttpPool(url)
 
     def call(self, request: ServiceRequest) -> ServiceResponse:
-        """Return the answer.
+        """Send a request and return the response.
 
-        Raises ``NoEndpointError`` if nothing was sent, else ``EndpointFailedError``, as
-        ``EndpointEndedError`` where the process has ended.
+        Raises ``NoEndpointError`` if nothing was sent, ``EndpointEndedError`` if the process has
+        exited, and ``EndpointFailedError`` otherwise.
         """
         try:
             exchange = self._pool.request(
