--- a/src/brassdrum/endpoints/openai.py
+++ b/src/brassdrum/endpoints/openai.py
@@ -1,4 +1,4 @@
-"""Validated models of the OpenAI-compatible requests that callers send."""
+"""Pydantic models of the OpenAI-compatible request bodies."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 __all__ = ["ChatRequest", "CompletionRequest", "parse_chat", "parse_completion"]
 
-_DEFAULT_ANSWER_TOKENS = 256
+_DEFAULT_MAX_ANSWER_TOKENS = 256
 
 
-class _Generation(BaseModel):
+class _GenerationRequest(BaseModel):
     model_config = ConfigDict(extra="allow")
 
     model: str
@@ -23,21 +23,21 @@
 
     @property
     def answer_tokens(self) -> int:
-        """Return the most tokens that the answer may have."""
-        return self.max_completion_tokens or self.max_tokens or _DEFAULT_ANSWER_TOKENS
+        """The maximum number of tokens to generate."""
+        return self.max_completion_tokens or self.max_tokens or _DEFAULT_MAX_ANSWER_TOKENS
 
 
-class CompletionRequest(_Generation):
-    """Hold ``POST /v1/completions``."""
+class CompletionRequest(_GenerationRequest):
+    """The body of ``POST /v1/completions``."""
 
     prompt: str
 
     def prompt_text(self) -> str:
-        """Return the text that the engine prefills."""
+        """Return the prompt as plain text, for token estimates and prefix matching."""
         return self.prompt
 
 
-class _Part(BaseModel):
+class _ContentPart(BaseModel):
     model_config = ConfigDict(extra="allow")
 
     type: str
@@ -48,10 +48,10 @@
     model_config = ConfigDict(extra="allow")
 
     role: str
-    content: str | list[_Part] | None = None
+    content: str | list[_ContentPart] | None = None
 
     def text(self) -> str:
-        """Return the role and the text of all parts."""
+        """Return the role and the text content, separated by newlines."""
         if self.content is None:
             return self.role
         if isinstance(self.content, str):
@@ -59,33 +59,33 @@
         return "\n".join([self.role, *(part.text for part in self.content)])
 
 
-class ChatRequest(_Generation):
-    """Hold ``POST /v1/chat/completions``."""
+class ChatRequest(_GenerationRequest):
+    """The body of ``POST /v1/chat/completions``."""
 
     messages: Annotated[list[_Message], Field(min_length=1)]
 
     def prompt_text(self) -> str:
-        """Return the text that the engine prefills."""
+        """Return the prompt as plain text, for token estimates and prefix matching."""
         return "\n".join(message.text() for message in self.messages)
 
 
-def _invalid(error: ValidationError) -> InvalidRequestError:
+def _validation_error(error: ValidationError) -> InvalidRequestError:
     detail = error.errors(include_url=False, include_input=False)[0]
-    place = ".".join(str(part) for part in detail["loc"]) or "body"
-    return InvalidRequestError(f"{place}: {detail['msg']}.")
+    location = ".".join(str(part) for part in detail["loc"]) or "body"
+    return InvalidRequestError(f"{location}: {detail['msg']}.")
 
 
 def parse_completion(body: bytes) -> CompletionRequest:
-    """Return a validated completion request, or raise ``InvalidRequestError``."""
+    """Parse and validate a completion request, or raise ``InvalidRequestError``."""
     try:
         return CompletionRequest.model_validate_json(body)
     except ValidationError as error:
-        raise _invalid(error) from error
+        raise _validation_error(error) from error
 
 
 def parse_chat(body: bytes) -> ChatRequest:
-    """Return a validated chat request, or raise ``InvalidRequestError``."""
+    """Parse and validate a chat request, or raise ``InvalidRequestError``."""
     try:
         return ChatRequest.model_validate_json(body)
     except ValidationError as error:
-        raise _invalid(error) from error
+        raise _validation_error(error) from error
