--- a/src/brassdrum/endpoints/__init__.py
+++ b/src/brassdrum/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the endpoints: model engines and plain services."""
+"""HTTP clients for endpoints: model engines and plain services."""
--- a/src/brassdrum/endpoints/endings.py
+++ b/src/brassdrum/endpoints/endings.py
@@ -1,4 +1,4 @@
-"""Tell an endpoint whose process has ended from one that lost an answer."""
+"""Distinguishes an exited endpoint process from a lost response."""
 
 from __future__ import annotations
 
@@ -7,12 +7,15 @@
 
 __all__ = ["no_response_error"]
 
-# A host without the process refuses within a round trip; longer silence proves nothing.
-_CHECK_SECONDS = 0.3
+# Without a listening process, the host refuses the connection within one round trip.
+_CONNECT_CHECK_TIMEOUT_SECONDS = 0.3
 
 
 def no_response_error(name: str, pool: HttpPool, error: Exception) -> EndpointFailedError:
-    """Return the error of a request that was sent and not answered; opens one connection."""
-    if pool.refuses(_CHECK_SECONDS):
-        return EndpointEndedError(f"The process of endpoint {name} has ended: {error}.")
-    return EndpointFailedError(f"Endpoint {name} did not answer: {error}.")
+    """Return the error for a request that was sent but got no response.
+
+    Opens one connection to find out whether the process still listens.
+    """
+    if pool.refuses(_CONNECT_CHECK_TIMEOUT_SECONDS):
+        return EndpointEndedError(f"The process of endpoint {name} has exited: {error}.")
+    return EndpointFailedError(f"Endpoint {name} did not respond: {error}.")
