--- a/src/brassdrum/daemon/endpoint_watch.py
+++ b/src/brassdrum/daemon/endpoint_watch.py
@@ -102,13 +102,13 @@
         prefixes = self._dispatcher.fleet.prefixes
         with self._dispatcher.lock:
             for event in events:
-                if event.number > last + 1 and last:
-                    prefixes.record_missed_events(engine.name, event.number - last - 1)
-                last = event.number
+                if event.sequence_number > last + 1 and last:
+                    prefixes.record_missed_events(engine.name, event.sequence_number - last - 1)
+                last = event.sequence_number
                 if event.stored:
-                    prefixes.record_stored(engine.name, [event.block])
+                    prefixes.record_stored(engine.name, [event.block_hash])
                 else:
-                    prefixes.record_removed(engine.name, event.block)
+                    prefixes.record_removed(engine.name, event.block_hash)
             prefixes.record_received_events(engine.name, len(events))
         self._last_event_by_endpoint[engine.name] = last
 
--- a/src/brassdrum/endpoints/service.py
+++ b/src/brassdrum/endpoints/service.py
@@ -1,31 +1,31 @@
-"""Reach one replica of a plain service by HTTP."""
+"""HTTP client for a replica of a plain service."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from brassdrum.endpoints.endings import lost_answer
+from brassdrum.endpoints.endings import no_response_error
 from brassdrum.errors import EndpointUnreachableError
 from brassdrum.http_pool import ConnectFailedError, ExchangeFailedError, HttpPool
 
-__all__ = ["ServiceAnswer", "ServiceCallRequest", "ServiceClient"]
+__all__ = ["ServiceClient", "ServiceRequest", "ServiceResponse"]
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceCallRequest:
-    """Hold one call as the caller sent it."""
+class ServiceRequest:
+    """A service request, forwarded with the caller's method, path and body."""
 
     method: str
     path: str
     body: bytes
     headers: Mapping[str, str]
-    seconds: float
+    timeout_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceAnswer:
-    """Hold a service's whole answer."""
+class ServiceResponse:
+    """A complete response from a service."""
 
     status: int
     content_type: str
@@ -33,17 +33,17 @@
 
 
 class ServiceClient:
-    """Send calls to one service replica, each on a connection of its own."""
+    """Sends requests to one service replica, each on a new connection."""
 
     def __init__(self, name: str, url: str) -> None:
         self.name = name
         self._pool = HttpPool(url)
 
-    def call(self, request: ServiceCallRequest) -> ServiceAnswer:
-        """Return the answer.
+    def call(self, request: ServiceRequest) -> ServiceResponse:
+        """Send a request and return the response.
 
-        Raises ``NoEndpointError`` if nothing was sent, else ``EndpointFailedError``, as
-        ``EndpointEndedError`` where the process has ended.
+        Raises ``NoEndpointError`` if nothing was sent, ``EndpointEndedError`` if the process has
+        exited, and ``EndpointFailedError`` otherwise.
         """
         try:
             exchange = self._pool.request(
@@ -51,7 +51,7 @@
                 request.path,
                 request.body or None,
                 request.headers,
-                timeout=request.seconds,
+                timeout=request.timeout_seconds,
                 fresh=True,
             )
             body = exchange.read()
@@ -60,6 +60,6 @@
                 f"Endpoint {self.name} cannot be reached: {error}."
             ) from error
         except ExchangeFailedError as error:
-            raise lost_answer(self.name, self._pool, error) from error
+            raise no_response_error(self.name, self._pool, error) from error
         content_type = exchange.header("Content-Type") or "application/octet-stream"
-        return ServiceAnswer(exchange.status, content_type, body)
+        return ServiceResponse(exchange.status, content_type, body)
