--- a/src/brassdrum/daemon/dispatcher.py
+++ b/src/brassdrum/daemon/dispatcher.py
@@ -176,7 +176,9 @@
     def _prefill_tokens(self, work: Work, state: EndpointState) -> int:
         if not work.blocks:
             return work.prompt_tokens
-        cached_blocks = self.fleet.prefixes.expected_prefix_blocks(work.blocks).get(state.endpoint.name, 0.0)
+        cached_blocks = self.fleet.prefixes.expected_prefix_blocks(work.blocks).get(
+            state.endpoint.name, 0.0
+        )
         cached_tokens = int(cached_blocks * BLOCK_CHARACTERS / _CHARACTERS_PER_TOKEN)
         return max(1, work.prompt_tokens - cached_tokens)
 
