--- a/features/steps/crashing_steps.py
+++ b/features/steps/crashing_steps.py
@@ -96,7 +96,8 @@
         context.stack.push(gateway.close)
         eventually(gateway.ready, "the new daemon is ready")
         eventually(
-            lambda each=gateway: each.daemon.guard.quarantined == 1, "it has loaded the quarantine"
+            lambda each=gateway: each.daemon.crash_guard.quarantined == 1,
+            "it has loaded the quarantine",
         )
 
 
@@ -107,7 +108,7 @@
     context.stack.push(joined.close)
     eventually(joined.ready, "the new daemon is ready")
     context.store.down = True
-    eventually(lambda: joined.daemon.guard.quarantined == 1, "it has received the quarantine")
+    eventually(lambda: joined.daemon.crash_guard.quarantined == 1, "it has received the quarantine")
 
 
 @given("the store is unavailable")
--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -21,7 +21,7 @@
 _LATE_FIRST_EVENT_MS = 2_000.0
 
 
-class FakeBeliefs:
+class FakeEndpointMonitor:
     """Record suspected endpoints."""
 
     def __init__(self):
@@ -36,7 +36,7 @@
         """Return None: the age is unknown."""
 
 
-class FakeKnowledge:
+class FakeRoutingState:
     """Provide the endpoints."""
 
     version = 1
@@ -80,15 +80,15 @@
         self.loop = SimulatedLoop()
         self.dialect = PlatformDialect()
         self.pool = FakeEndpointPool()
-        self.table = LoadTable()
-        self.beliefs = FakeBeliefs()
+        self.load_table = LoadTable()
+        self.endpoint_monitor = FakeEndpointMonitor()
         self.entries = [
             EndpointEntry(f"engine-{number}", SERVICE, f"10.0.0.{number}:80", "zone-a", 8, False)
             for number in (1, 2, 3)
         ]
-        self.knowledge = FakeKnowledge(self.entries)
+        self.routing_state = FakeRoutingState(self.entries)
         self.harm = 0.0
-        self.guard = CrashGuard(self.loop, self.table)
+        self.crash_guard = CrashGuard(self.loop, self.load_table)
         self.wait_queue = WaitQueue(self.loop, lambda seconds: seconds)
         self._numbers = itertools.count()
 
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -143,7 +143,7 @@
 def step_no_endpoints(context):
     context.store.entries = []
     eventually(
-        lambda: not context.gateways[0].daemon.knowledge.endpoints_by_id, "no endpoint is known"
+        lambda: not context.gateways[0].daemon.routing_state.endpoints_by_id, "no endpoint is known"
     )
 
 
@@ -299,12 +299,12 @@
 
 @when("the store is unavailable and returns without the endpoints")
 def step_store_outage(context):
-    knowledge = context.gateways[0].daemon.knowledge
+    routing_state = context.gateways[0].daemon.routing_state
     context.store.down = True
     reads = context.store.calls
     eventually(lambda: context.store.calls > reads + 2, "the store was read")
     # As after an outage longer than the read interval.
-    knowledge._store_unavailable = True
+    routing_state._store_unavailable = True
     context.store.entries = []
     context.store.down = False
 
@@ -396,7 +396,7 @@
 
 
 def has_no_requests(gateway):
-    return not gateway.daemon._exchanges and not gateway.daemon.table._shares_by_request
+    return not gateway.daemon._exchanges and not gateway.daemon.load_table._shares_by_request
 
 
 @then("the response has a Retry-After header")
@@ -440,7 +440,7 @@
 def step_one_endpoint(context):
     for gateway in context.gateways:
         eventually(
-            lambda gateway=gateway: len(gateway.daemon.knowledge.usable("pool")) == 1,
+            lambda gateway=gateway: len(gateway.daemon.routing_state.usable("pool")) == 1,
             f"{gateway.host} knows one endpoint",
         )
 
@@ -452,24 +452,24 @@
 
 @then("the daemon still knows {count:d} endpoints")
 def step_knows(context, count):
-    knowledge = context.gateways[0].daemon.knowledge
-    read_at = knowledge.read_at
-    eventually(lambda: knowledge.read_at > read_at, "the store was read after the outage")
-    assert len(knowledge.endpoints_by_id) == count
+    routing_state = context.gateways[0].daemon.routing_state
+    read_at = routing_state.read_at
+    eventually(lambda: routing_state.read_at > read_at, "the store was read after the outage")
+    assert len(routing_state.endpoints_by_id) == count
 
 
 @then("the daemon eventually knows no endpoint")
 def step_knows_none(context):
-    knowledge = context.gateways[0].daemon.knowledge
-    eventually(lambda: not knowledge.endpoints_by_id, "the expired endpoints are removed")
+    routing_state = context.gateways[0].daemon.routing_state
+    eventually(lambda: not routing_state.endpoints_by_id, "the expired endpoints are removed")
 
 
 @then("the second daemon eventually sees {calls:d} call in flight")
 @then("the second daemon eventually sees {calls:d} calls in flight")
 def step_sees(context, calls):
-    table = context.gateways[1].daemon.table
+    load_table = context.gateways[1].daemon.load_table
     eventually(
-        lambda: sum(table.total(each.name).requests for each in context.endpoints) == calls,
+        lambda: sum(load_table.total(each.name).requests for each in context.endpoints) == calls,
         f"{calls} calls are reported",
     )
 
--- a/features/steps/turning_away_steps.py
+++ b/features/steps/turning_away_steps.py
@@ -116,7 +116,7 @@
 def step_used_slots(context, used):
     start_exchange(context)
     rows = [LoadRow(endpoint_key("engine-1"), EndpointLoad(requests=used))]
-    context.daemon.table.merge("peer", rows, context.daemon.loop.now(), 1)
+    context.daemon.load_table.merge("peer", rows, context.daemon.loop.now(), 1)
 
 
 @when("the endpoint reports that it did not run the request")
@@ -127,7 +127,7 @@
 
 @then("the endpoint is {state}")
 def step_avoidance(context, state):
-    assert ("engine-1" in context.daemon.beliefs.suspected) is (state == "avoided")
+    assert ("engine-1" in context.daemon.endpoint_monitor.suspected) is (state == "avoided")
 
 
 @given("a daemon that has just seen an uncertain failure of an endpoint")
--- a/src/brassdrum/bench/load/daemon.py
+++ b/src/brassdrum/bench/load/daemon.py
@@ -171,7 +171,7 @@
         return _Hold()
 
 
-class _Beliefs:
+class _SimulatedEndpointMonitor:
     """Believe that every endpoint is sound."""
 
     def endpoint_failed(self, _endpoint: str, *, certain: bool, detail: str) -> None:
@@ -188,7 +188,7 @@
         return 0.0
 
 
-class _Knowledge:
+class _SimulatedRoutingState:
     version = 1
 
     def __init__(self, fleet: Fleet) -> None:
@@ -206,7 +206,7 @@
         self.name = name
         self.fleet = fleet
         self.loop = fleet.loop
-        self.table = LoadTable()
+        self.load_table = LoadTable()
         self.sendings: dict[bytes, _Sent] = {}
         self.tokens_by_ticket: dict[str, int] = {}
         self.events_by_request: dict[str, int] = {}
@@ -214,9 +214,9 @@
         self.repeats = 0
         self.dialect = _Dialect(self)
         self.pool = _Pool(self)
-        self.beliefs = _Beliefs()
-        self.knowledge = _Knowledge(fleet)
-        self.guard = CrashGuard(self.loop, self.table)
+        self.endpoint_monitor = _SimulatedEndpointMonitor()
+        self.routing_state = _SimulatedRoutingState(fleet)
+        self.crash_guard = CrashGuard(self.loop, self.load_table)
         self.reservations = _Reservations(self)
         self.wait_queue = WaitQueue(self.loop, lambda seconds: seconds * rng.uniform(0.6, 1.4))
         self.peers = Peers(
@@ -225,14 +225,16 @@
             name,
             address,
             1,
-            self.table,
+            self.load_table,
             lambda: PeerStatus(1, "", 0.0, 1),
             _ignore_belief,
             _ignore_belief,
             # Its own draws: placements of a seed stay the same whatever daemons tell each other.
             random.Random(name),
         )
-        self._chooser = EndpointSelector(name, self.table, rng, lambda: self.peers.flush_seconds)
+        self._chooser = EndpointSelector(
+            name, self.load_table, rng, lambda: self.peers.flush_seconds
+        )
         self._numbers = itertools.count()
 
     def place(self, exchange: Exchange, need: PlacementRequest) -> Placement | None:
@@ -240,7 +242,7 @@
         now = self.loop.now()
         entries = [
             entry
-            for entry in self.knowledge.usable(SERVICE)
+            for entry in self.routing_state.usable(SERVICE)
             if entry.id not in exchange.tried_endpoints
         ]
         late = now > exchange.wait_deadlines.timely_until
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -89,8 +89,8 @@
         bounds = settings.bounds
         self.dialect = dialect
         self.loop = EventLoop(clock or SystemClock())
-        self.knowledge = RoutingState()
-        self.table = LoadTable()
+        self.routing_state = RoutingState()
+        self.load_table = LoadTable()
         self.pool = EndpointPool(self.loop)
         self.metrics = GatewayMetrics(settings.name)
         self.reservations = ReservationManager(
@@ -106,7 +106,7 @@
         self._store = store
         self._policy = policies.get(settings.policy)
         self._endpoint_selector = EndpointSelector(
-            settings.name, self.table, self._random, self._flush_seconds
+            settings.name, self.load_table, self._random, self._flush_seconds
         )
         self._budget_by_service: dict[str, SharedRetryBudget] = {}
         self._connections: set[CallerConnection] = set()
@@ -114,21 +114,21 @@
         self._held_requests = HeldRequestQueue(self.loop, self._refuse_held)
         self._state = _CHART.initial
         self._planned_stop: PlannedStop | None = None
-        self.guard = CrashGuard(self.loop, self.table)
-        self.beliefs = EndpointMonitor(
-            self.loop, self.knowledge, self.pool, self._update_readiness, self.guard
+        self.crash_guard = CrashGuard(self.loop, self.load_table)
+        self.endpoint_monitor = EndpointMonitor(
+            self.loop, self.routing_state, self.pool, self._update_readiness, self.crash_guard
         )
         self._follower = Follower(
             self.loop,
             store,
-            self.knowledge,
+            self.routing_state,
             bounds,
             settings.peer_port,
-            self.beliefs.on_endpoints_changed,
-            self.beliefs.on_configuration_changed,
+            self.endpoint_monitor.on_endpoints_changed,
+            self.endpoint_monitor.on_configuration_changed,
             self._rewrite_records,
         )
-        self.beliefs.set_follower(self._follower)
+        self.endpoint_monitor.set_follower(self._follower)
         self._exit_detector = ExitDetector(self.loop, self._endpoint_exited)
         self._peers: Peers | None = None
         self._listeners: list[Listener] = []
@@ -147,20 +147,25 @@
             settings.name,
             self._address(),
             round(self.loop.clock.now().timestamp() * 1000),
-            self.table,
-            self.beliefs.build_peer_update,
-            self.beliefs.compare_with_peer,
-            self.beliefs.apply_peer_update,
+            self.load_table,
+            self.endpoint_monitor.build_peer_update,
+            self.endpoint_monitor.compare_with_peer,
+            self.endpoint_monitor.apply_peer_update,
             self._random,
         )
         for host in settings.seeds:
             self._peers.add_seed(host)
         self._follower.start(self._peers, self._announce)
         peers = self._peers
-        self.guard.start(self._store, self._follower.submit, lambda: peers.rank == 0)
+        self.crash_guard.start(self._store, self._follower.submit, lambda: peers.rank == 0)
         self.metrics.add_gauges(
             MetricsSources(
-                self.knowledge, self._follower, self._peers, self.pool, self._store, self.guard
+                self.routing_state,
+                self._follower,
+                self._peers,
+                self.pool,
+                self._store,
+                self.crash_guard,
             )
         )
         log_events.STARTED.write(
@@ -211,7 +216,7 @@
 
     def limits(self) -> CallerLimits:
         """Return the limits in force."""
-        configuration = self.knowledge.configuration
+        configuration = self.routing_state.configuration
         return CallerLimits() if configuration is None else configuration.limits
 
     def closing(self) -> bool:
@@ -222,7 +227,7 @@
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> CallerHandler | None:
         """Begin to process a request; hold it if there is no configuration yet."""
-        if self.knowledge.configuration is None and not self.closing():
+        if self.routing_state.configuration is None and not self.closing():
             held = self._hold_request(connection, head, body)
             if held is not None:
                 return held
@@ -231,12 +236,12 @@
     def _handle(
         self, connection: CallerConnection, head: RequestHead, body: bytes, arrived: float
     ) -> Exchange | None:
-        admission = admit(self.knowledge, self.dialect, head)
+        admission = admit(self.routing_state, self.dialect, head)
         if isinstance(admission, Refusal):
             self._refuse(connection, admission)
             return None
         request, route = admission.request, admission.route
-        service = self.knowledge.choose_service(route, self._random)
+        service = self.routing_state.choose_service(route, self._random)
         if self._would_be_aborted(request, route, service):
             refusal = Refusal(503, "about to stop", _STOP_RETRY_AFTER_SECONDS, request.id)
             self._refuse(connection, refusal)
@@ -289,7 +294,7 @@
         return not self._planned_stop.accepts(self.loop.now(), duration)
 
     def _engine_model(self, service: str) -> EngineModel | None:
-        configuration = self.knowledge.configuration
+        configuration = self.routing_state.configuration
         assert configuration is not None
         entry = configuration.services_by_name.get(service)
         return None if entry is None else entry.engine
@@ -299,16 +304,16 @@
     def place(self, exchange: Exchange, need: PlacementRequest) -> Placement | None:
         """Return the best placement for a request now, or None without a usable endpoint."""
         now = self.loop.now()
-        usable = self.guard.eligible_endpoints(
-            self.guard.standing(exchange.content_fingerprint, exchange.tried_endpoints),
-            self.knowledge.usable(exchange.service),
-            self.beliefs.is_suspect,
+        usable = self.crash_guard.eligible_endpoints(
+            self.crash_guard.standing(exchange.content_fingerprint, exchange.tried_endpoints),
+            self.routing_state.usable(exchange.service),
+            self.endpoint_monitor.is_suspect,
         )
         return self._endpoint_selector.select(
             self._policy,
             need,
             [entry for entry in usable if entry.id not in exchange.tried_endpoints],
-            self.beliefs.is_suspect,
+            self.endpoint_monitor.is_suspect,
             self._engine_model(exchange.service),
             now,
             late=now > exchange.wait_deadlines.timely_until,
@@ -338,7 +343,7 @@
 
     def response_interrupted(self, attempt: Attempt, lost: LostRequest) -> None:
         """Check whether the endpoint has exited, unless it was draining."""
-        entry = self.knowledge.endpoints_by_id.get(attempt.endpoint)
+        entry = self.routing_state.endpoints_by_id.get(attempt.endpoint)
         if entry is not None and not entry.draining:
             self._exit_detector.response_interrupted(entry, lost)
 
@@ -367,7 +372,7 @@
             "first_ms": report.first_event_ms,
             "prompt": exchange.request.prompt_tokens,
             "sends": exchange.send_count,
-            "version": self.knowledge.version,
+            "version": self.routing_state.version,
         }
         if outcome is not Outcome.SERVED:
             log_events.FAILED.write(
@@ -388,8 +393,10 @@
     # Implementation.
 
     def _endpoint_exited(self, entry: EndpointEntry, affected: list[AffectedRequest]) -> None:
-        self.beliefs.endpoint_failed(entry.id, certain=True, detail="endpoint process exited")
-        self.guard.endpoint_ended(entry, affected)
+        self.endpoint_monitor.endpoint_failed(
+            entry.id, certain=True, detail="endpoint process exited"
+        )
+        self.crash_guard.endpoint_ended(entry, affected)
         assert self._peers is not None
         self._peers.load_changed()
         self.metrics.record_endpoint_exit()
@@ -428,7 +435,7 @@
 
     def ready(self) -> bool:
         """Return whether the balancer should send new connections."""
-        return not self.closing() and bool(self.knowledge.endpoints_by_id)
+        return not self.closing() and bool(self.routing_state.endpoints_by_id)
 
     def _address(self) -> DaemonAddress:
         settings = self.settings
@@ -441,7 +448,7 @@
     def _rewrite_records(self) -> None:
         """Rewrite records that the store may have lost, at a random time in each daemon."""
         self.loop.call_later(self._jitter(_REWRITE_DELAY_SECONDS), self._reannounce)
-        self.guard.rewrite_records()
+        self.crash_guard.rewrite_records()
 
     def _reannounce(self) -> None:
         self._follower.submit(
@@ -459,14 +466,14 @@
         self.loop.call_later(self._jitter(_REWRITE_DELAY_SECONDS), self._reannounce)
 
     def _update_readiness(self) -> None:
-        if self.ready() and self.knowledge.configuration is not None:
+        if self.ready() and self.routing_state.configuration is not None:
             self._held_requests.release(self._handle_held)
         if self._state == _CHART.initial and self.ready():
             self._state = _CHART.next(self._state, "become_ready")
             log_events.READY.write(
                 _logger,
-                version=self.knowledge.version,
-                endpoints=len(self.knowledge.endpoints_by_id),
+                version=self.routing_state.version,
+                endpoints=len(self.routing_state.endpoints_by_id),
             )
 
     def _retry_budget(self, service: str) -> SharedRetryBudget:
@@ -487,7 +494,7 @@
             request=refusal.request_id,
             status=refusal.status,
             detail=refusal.detail,
-            version=self.knowledge.version,
+            version=self.routing_state.version,
         )
         connection.answer(refusal.status, headers, b"")
 
--- a/src/brassdrum/gateway/request/admission.py
+++ b/src/brassdrum/gateway/request/admission.py
@@ -33,10 +33,10 @@
 
 
 def admit(
-    knowledge: RoutingState, dialect: Dialect, head: RequestHead
+    routing_state: RoutingState, dialect: Dialect, head: RequestHead
 ) -> AdmittedRequest | Refusal:
     """Return the request with its route and organisation, or the reason for its refusal."""
-    configuration = knowledge.configuration
+    configuration = routing_state.configuration
     if configuration is None:
         return Refusal(503, "no configuration yet", _STARTUP_RETRY_AFTER_SECONDS)
     try:
@@ -44,12 +44,12 @@
     except InvalidRequestError as error:
         return Refusal(400, error.message)
     path = request.target.split(b"?", 1)[0].decode("latin-1")
-    route = knowledge.route(request.host, path)
+    route = routing_state.route(request.host, path)
     if route is None:
         return Refusal(404, "no route", request_id=request.id)
     if route.anonymous or not configuration.organisations:
         return AdmittedRequest(request, route, None)
-    organisation = knowledge.organisation(request.key)
+    organisation = routing_state.organisation(request.key)
     if organisation is None:
         return Refusal(401, "unknown key", request_id=request.id)
     return AdmittedRequest(request, route, organisation)
--- a/src/brassdrum/gateway/request/attempt.py
+++ b/src/brassdrum/gateway/request/attempt.py
@@ -31,7 +31,7 @@
     loop: EventLoop
     dialect: Dialect
     pool: EndpointPool
-    table: LoadTable
+    load_table: LoadTable
     reservations: ReservationManager
 
     def load_changed(self) -> None:
@@ -107,7 +107,7 @@
     @property
     def endpoint_has_free_slots(self) -> bool:
         """Return whether enough slots of the endpoint are known to be free."""
-        taken = self._context.table.total(self.endpoint).requests
+        taken = self._context.load_table.total(self.endpoint).requests
         return taken <= self._placement.entry.slots * _MAX_USED_SLOTS_RATIO
 
     @property
@@ -121,7 +121,7 @@
 
     def start(self) -> None:
         """Reserve memory at the helpers, if needed, and send the request."""
-        self._context.table.start(
+        self._context.load_table.start(
             self._load_key,
             self._placement.shares,
             self._context.loop.now(),
@@ -171,7 +171,7 @@
         if self._first_event_seen or self._finished:
             return
         self._first_event_seen = True
-        self._context.table.prefill_finished(self._load_key)
+        self._context.load_table.prefill_finished(self._load_key)
         self._context.load_changed()
 
     def cancel(self) -> None:
@@ -187,7 +187,7 @@
         self._finished = True
         if self._reservation is not None:
             self._reservation.release()
-        self._context.table.end(self._load_key, self._context.loop.now())
+        self._context.load_table.end(self._load_key, self._context.loop.now())
         self._context.load_changed()
 
     def response_started(self, status: int, headers: Headers) -> None:
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -153,17 +153,17 @@
         failed_endpoint = attempt.endpoint
         if reply.faulty_endpoint is not None:
             failed_endpoint = (
-                self._context.knowledge.find_endpoint(reply.faulty_endpoint) or failed_endpoint
+                self._context.routing_state.find_endpoint(reply.faulty_endpoint) or failed_endpoint
             )
         if reply.kind is ReplyKind.WRONG_ENDPOINT and failed_endpoint == attempt.endpoint:
-            self._context.beliefs.address_reused(attempt.endpoint)
+            self._context.endpoint_monitor.address_reused(attempt.endpoint)
         elif failed_endpoint != attempt.endpoint:
-            self._context.beliefs.endpoint_failed(
+            self._context.endpoint_monitor.endpoint_failed(
                 failed_endpoint, certain=True, detail="reported as failed by another endpoint"
             )
         elif attempt.endpoint_has_free_slots:
             # A full endpoint recovers soon; one that rejects requests with free slots does not.
-            self._context.beliefs.endpoint_failed(
+            self._context.endpoint_monitor.endpoint_failed(
                 failed_endpoint, certain=True, detail="it turns requests away though it has room"
             )
         self._retry_not_executed(attempt, f"the endpoint answered {reply.status}, not run")
@@ -197,8 +197,8 @@
         if reply.kind is ReplyKind.FAILURE:
             self._handle_failure_reply(attempt, reply)
             return
-        self._context.beliefs.endpoint_served(attempt.endpoint)
-        self._context.guard.request_served(self.content_fingerprint)
+        self._context.endpoint_monitor.endpoint_served(attempt.endpoint)
+        self._context.crash_guard.request_served(self.content_fingerprint)
         if not self.route.streams:
             self._finish(Outcome.SERVED, reply.status, "")
             self._connection.answer(reply.status, reply.headers, bytes(attempt.body))
@@ -215,7 +215,9 @@
         """Retry the request where its route permits that."""
         attempt.finish()
         if how is CallFailure.NOT_SENT:
-            self._context.beliefs.endpoint_failed(attempt.endpoint, certain=True, detail=detail)
+            self._context.endpoint_monitor.endpoint_failed(
+                attempt.endpoint, certain=True, detail=detail
+            )
             self.send_count -= 1
             self._unsent_attempts += 1
             self._retry_not_executed(attempt, detail)
@@ -231,7 +233,9 @@
     def _dispatch(self) -> None:
         """Place the request and start an attempt; no other attempt may be in flight."""
         self._watchdog.stop()
-        standing = self._context.guard.standing(self.content_fingerprint, self.tried_endpoints)
+        standing = self._context.crash_guard.standing(
+            self.content_fingerprint, self.tried_endpoints
+        )
         if standing is ContentStatus.QUARANTINED:
             self._stop_waiting()
             self._refuse_quarantined()
@@ -239,7 +243,7 @@
         if standing is ContentStatus.UNDECIDED:
             # Reports of other daemons may still decide whether this content crashes endpoints.
             self._postpone(
-                self._context.guard.settles_in(self.content_fingerprint, self.tried_endpoints)
+                self._context.crash_guard.settles_in(self.content_fingerprint, self.tried_endpoints)
             )
             return
         need = self.need()
@@ -264,7 +268,7 @@
             return
         self.send_count += 1
         self.tried_endpoints.add(placement.entry.id)
-        self._context.guard.request_sent(standing, placement.entry.id)
+        self._context.crash_guard.request_sent(standing, placement.entry.id)
         self._log_placement(placement, standing)
         self.timing.record_send(self._context.loop.now(), placement.first_event_ms)
         self._attempt = Attempt(self._context, self, placement)
@@ -302,7 +306,7 @@
             self._context.wait_queue.remove(self, served=served)
 
     def _log_placement(self, placement: Placement, standing: ContentStatus) -> None:
-        age = self._context.beliefs.list_age()
+        age = self._context.endpoint_monitor.list_age()
         self._log_decision(
             log_events.PLACED,
             endpoint=placement.entry.id,
@@ -313,7 +317,7 @@
             late=round(placement.lateness_tokens),
             reason=placement.reason,
             send=self.send_count,
-            version=self._context.knowledge.version,
+            version=self._context.routing_state.version,
             list_age=None if age is None else round(age, 3),
             standing=standing.name.lower(),
         )
@@ -368,7 +372,7 @@
     def _handle_failure_reply(self, attempt: Attempt, reply: Reply) -> None:
         """Handle a failure reply; the endpoint executed the request."""
         self._may_have_run = True
-        self._context.beliefs.endpoint_answered_failure(
+        self._context.endpoint_monitor.endpoint_answered_failure(
             attempt.endpoint, f"answered {reply.status}"
         )
         if reply.status >= 500 and self.route.repeatable and self._consume_resend():
@@ -398,7 +402,9 @@
     def _handle_lost_attempt(self, attempt: Attempt, detail: str, *, certain: bool) -> None:
         attempt.finish()
         self._may_have_run = True
-        self._context.beliefs.endpoint_failed(attempt.endpoint, certain=certain, detail=detail)
+        self._context.endpoint_monitor.endpoint_failed(
+            attempt.endpoint, certain=certain, detail=detail
+        )
         if self.route.repeatable and self._consume_resend():
             self._resend(detail)
             return
@@ -435,7 +441,7 @@
     def queued_prefill_seconds(self) -> float:
         """Return the seconds of prefill queued at the current attempt's endpoint."""
         assert self._attempt is not None
-        return self._context.table.total(self._attempt.endpoint).pending_prefill_ms / 1000
+        return self._context.load_table.total(self._attempt.endpoint).pending_prefill_ms / 1000
 
     def endpoint_stalled(self, *, certain: bool) -> None:
         """Replace the current attempt after a stall."""
@@ -467,7 +473,7 @@
         return self._context.retries_left(self.service) >= 1.0
 
     def _has_other_endpoint(self, attempt: Attempt) -> bool:
-        usable = self._context.knowledge.usable(self.service)
+        usable = self._context.routing_state.usable(self.service)
         return any(entry.id != attempt.endpoint for entry in usable)
 
     def _deadline_expired(self) -> None:
@@ -500,7 +506,7 @@
         self._refuse(
             detail,
             retry_after_header(
-                self._context.guard.seconds_left(self.content_fingerprint), math.inf
+                self._context.crash_guard.seconds_left(self.content_fingerprint), math.inf
             ),
         )
 
--- a/src/brassdrum/gateway/request/exchange_host.py
+++ b/src/brassdrum/gateway/request/exchange_host.py
@@ -23,10 +23,10 @@
 class ExchangeContext(AttemptContext, Protocol):
     """State and services of the daemon that all exchanges share."""
 
-    knowledge: RoutingState
-    beliefs: EndpointMonitor
+    routing_state: RoutingState
+    endpoint_monitor: EndpointMonitor
     wait_queue: WaitQueue
-    guard: CrashGuard
+    crash_guard: CrashGuard
 
     def place(self, exchange: Exchange, need: PlacementRequest) -> Placement | None:
         """Return the best placement for a request now, or None without a usable endpoint."""
