--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -68,7 +68,7 @@
     def __init__(self):
         self.statuses = []
 
-    def answer(self, status, headers, body):
+    def send_response(self, status, headers, body):
         """Record the status of a response."""
         self.statuses.append(status)
 
--- a/src/brassdrum/bench/load/play.py
+++ b/src/brassdrum/bench/load/play.py
@@ -178,10 +178,10 @@
 
     # What an exchange tells its caller's connection.
 
-    def begin(self, _status: int, _headers: Headers) -> None:
+    def start_response(self, _status: int, _headers: Headers) -> None:
         """Take the start of an answer."""
 
-    def data(self, _content: bytes) -> None:
+    def send_data(self, _content: bytes) -> None:
         """Note when events come."""
         now = self._fleet.loop.now()
         if self._first_at is None:
@@ -191,7 +191,7 @@
             self._pause = max(self._pause, now - self._last_at)
         self._last_at = now
 
-    def end(self) -> None:
+    def end_response(self) -> None:
         """Judge a whole answer."""
         self.over = True
         assert self._first_at is not None
@@ -201,7 +201,7 @@
         self._count.late += not in_time
         self._count.earned += self._worth * (1.0 if in_time else _LATE_WORTH)
 
-    def answer(self, status: int, headers: Headers, _body: bytes) -> None:
+    def send_response(self, status: int, headers: Headers, _body: bytes) -> None:
         """Come back after a refusal, once."""
         now = self._fleet.loop.now()
         left = self._arrival.kind.deadline - (now - self._asked_at)
--- a/src/brassdrum/gateway/daemon.py
+++ b/src/brassdrum/gateway/daemon.py
@@ -496,7 +496,7 @@
             detail=refusal.detail,
             version=self.routing_state.version,
         )
-        connection.answer(refusal.status, headers, b"")
+        connection.send_response(refusal.status, headers, b"")
 
     def _reload(self, reload: Callable[[], GatewaySettings]) -> None:
         try:
--- a/src/brassdrum/gateway/net/callers.py
+++ b/src/brassdrum/gateway/net/callers.py
@@ -124,14 +124,14 @@
         """Return whether the connection is closed."""
         return self._transport.closed
 
-    def begin(self, status: int, headers: Headers) -> None:
+    def start_response(self, status: int, headers: Headers) -> None:
         """Send the status and headers of a response."""
         if self._responder.closing():
             headers = [*headers, (b"Connection", b"close")]
         reason = _REASON_PHRASES.get(status, b"Status")
         self._send(h11.Response(status_code=status, headers=headers, reason=reason))
 
-    def data(self, content: bytes) -> None:
+    def send_data(self, content: bytes) -> None:
         """Send a chunk of the response body."""
         self._send(h11.Data(data=content))
         if self._transport.write_buffer_size > _MAX_WRITE_BUFFER_BYTES:
@@ -141,7 +141,7 @@
             )
             self._handle_disconnect()
 
-    def end(self) -> None:
+    def end_response(self) -> None:
         """Complete the response and wait for the next request."""
         self._send(h11.EndOfMessage())
         self._responding = False
@@ -155,14 +155,14 @@
             return
         self._close_after_flush()
 
-    def answer(self, status: int, headers: Headers, body: bytes) -> None:
+    def send_response(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete response."""
         length = (b"Content-Length", b"%d" % len(body))
-        self.begin(status, [*headers, length])
+        self.start_response(status, [*headers, length])
         if body:
-            self.data(body)
+            self.send_data(body)
         if not self._transport.closed:
-            self.end()
+            self.end_response()
 
     def abort(self) -> None:
         """Close the connection, leaving the response visibly incomplete."""
--- a/src/brassdrum/gateway/pages.py
+++ b/src/brassdrum/gateway/pages.py
@@ -29,7 +29,7 @@
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> CallerHandler | None:
         """Respond with status 200 if the daemon is ready, or else 503."""
-        connection.answer(200 if self._ready() else 503, [], b"")
+        connection.send_response(200 if self._ready() else 503, [], b"")
         return None
 
 
@@ -54,7 +54,7 @@
         """Respond with the page, or with status 404."""
         page = self._pages_by_path.get(head.target.decode("latin-1"))
         if page is None:
-            connection.answer(404, [], b"")
+            connection.send_response(404, [], b"")
             return None
-        connection.answer(200, [(b"Content-Type", page.content_type)], page.render())
+        connection.send_response(200, [(b"Content-Type", page.content_type)], page.render())
         return None
--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -201,15 +201,15 @@
         self._context.crash_guard.request_served(self.content_fingerprint)
         if not self.route.streams:
             self._finish(Outcome.SERVED, reply.status, "")
-            self._connection.answer(reply.status, reply.headers, bytes(attempt.body))
+            self._connection.send_response(reply.status, reply.headers, bytes(attempt.body))
             return
         if not self._response_started:
-            self._connection.begin(reply.status, reply.headers)
+            self._connection.start_response(reply.status, reply.headers)
             self._response_started = True
         if self._reader.incomplete:
-            self._connection.data(self._reader.incomplete)
+            self._connection.send_data(self._reader.incomplete)
         self._finish(Outcome.SERVED, reply.status, "")
-        self._connection.end()
+        self._connection.end_response()
 
     def attempt_connection_lost(self, attempt: Attempt, how: CallFailure, detail: str) -> None:
         """Retry the request where its route permits that."""
@@ -364,8 +364,8 @@
         attempt.first_event_received()
         if not self._response_started:
             self._response_started = True
-            self._connection.begin(reply.status, reply.headers)
-        self._connection.data(events)
+            self._connection.start_response(reply.status, reply.headers)
+        self._connection.send_data(events)
         if not self._finished:
             self.restart_stall_timer(None)
 
@@ -386,7 +386,7 @@
             self._fail(f"the endpoint answered {reply.status} and may have run the request")
             return
         self._finish(Outcome.FAILED, reply.status, "the endpoint's own failure")
-        self._connection.answer(reply.status, reply.headers, bytes(attempt.body))
+        self._connection.send_response(reply.status, reply.headers, bytes(attempt.body))
 
     def _retry_not_executed(self, attempt: Attempt, detail: str) -> None:
         attempt.finish()
@@ -494,7 +494,7 @@
             return
         status = 504 if self.time_left <= 0 else 502
         self._finish(Outcome.FAILED, status, detail)
-        self._connection.answer(status, [], b"")
+        self._connection.send_response(status, [], b"")
 
     def _refuse_quarantined(self) -> None:
         """Refuse a request with quarantined content, which crashes the endpoints that run it."""
@@ -516,7 +516,7 @@
 
     def _refuse(self, detail: str, headers: Headers) -> None:
         self._finish(Outcome.REFUSED, 503, detail)
-        self._connection.answer(503, headers, b"")
+        self._connection.send_response(503, headers, b"")
 
     def _cancel_attempt(self) -> None:
         if self._attempt is not None:
