--- a/src/brassdrum/gateway/net/datagrams.py
+++ b/src/brassdrum/gateway/net/datagrams.py
@@ -10,13 +10,13 @@
 
 from brassdrum.gateway.net.loop import EventLoop
 
-__all__ = ["DatagramSocket", "Datagrams"]
+__all__ = ["DatagramSocket", "DatagramTransport"]
 
 _logger = logging.getLogger(__name__)
 _MAX_DATAGRAM_BYTES = 65536
 
 
-class Datagrams(Protocol):
+class DatagramTransport(Protocol):
     """An unreliable datagram transport: datagrams may be lost, delayed or duplicated."""
 
     def listen(self, received: Callable[[bytes, str], None]) -> None:
--- a/src/brassdrum/gateway/peering/peers.py
+++ b/src/brassdrum/gateway/peering/peers.py
@@ -15,7 +15,7 @@
 
 from brassdrum.gateway.following.suspicion import longest_notices
 from brassdrum.gateway.model import DaemonAddress
-from brassdrum.gateway.net.datagrams import Datagrams
+from brassdrum.gateway.net.datagrams import DatagramTransport
 from brassdrum.gateway.net.loop import Timer, Timers
 from brassdrum.gateway.peering.directory import PeerDirectory
 from brassdrum.gateway.peering.group import Group
@@ -93,7 +93,7 @@
     def __init__(
         self,
         loop: Timers,
-        datagrams: Datagrams,
+        datagrams: DatagramTransport,
         name: str,
         own: DaemonAddress,
         incarnation: int,
