--- a/src/brassdrum/gateway/request/exchange.py
+++ b/src/brassdrum/gateway/request/exchange.py
@@ -153,17 +153,17 @@
         failed_endpoint = attempt.endpoint
         if reply.faulty_endpoint is not None:
             failed_endpoint = (
-                self._context.knowledge.find_endpoint(reply.faulty_endpoint) or failed_endpoint
+                self._context.routing_state.find_endpoint(reply.faulty_endpoint) or failed_endpoint
             )
         if reply.kind is ReplyKind.WRONG_ENDPOINT and failed_endpoint == attempt.endpoint:
-            self._context.beliefs.address_reused(attempt.endpoint)
+            self._context.endpoint_monitor.address_reused(attempt.endpoint)
         elif failed_endpoint != attempt.endpoint:
-            self._context.beliefs.endpoint_failed(
+            self._context.endpoint_monitor.endpoint_failed(
                 failed_endpoint, certain=True, detail="reported as failed by another endpoint"
             )
         elif attempt.endpoint_has_free_slots:
             # A full endpoint recovers soon; one that rejects requests with free slots does not.
-            self._context.beliefs.endpoint_failed(
+            self._context.endpoint_monitor.endpoint_failed(
                 failed_endpoint, certain=True, detail="it turns requests away though it has room"
             )
         self._retry_not_executed(attempt, f"the endpoint answered {reply.status}, not run")
@@ -197,25 +197,27 @@
         if reply.kind is ReplyKind.FAILURE:
             self._handle_failure_reply(attempt, reply)
             return
-        self._context.beliefs.endpoint_served(attempt.endpoint)
-        self._context.guard.request_served(self.content_fingerprint)
+        self._context.endpoint_monitor.endpoint_served(attempt.endpoint)
+        self._context.crash_guard.request_served(self.content_fingerprint)
         if not self.route.streams:
             self._finish(Outcome.SERVED, reply.status, "")
-            self._connection.answer(reply.status, reply.headers, bytes(attempt.body))
+            self._connection.send_response(reply.status, reply.headers, bytes(attempt.body))
             return
         if not self._response_started:
-            self._connection.begin(reply.status, reply.headers)
+            self._connection.start_response(reply.status, reply.headers)
             self._response_started = True
         if self._reader.incomplete:
-            self._connection.data(self._reader.incomplete)
+            self._connection.send_data(self._reader.incomplete)
         self._finish(Outcome.SERVED, reply.status, "")
-        self._connection.end()
+        self._connection.end_response()
 
     def attempt_connection_lost(self, attempt: Attempt, how: CallFailure, detail: str) -> None:
         """Retry the request where its route permits that."""
         attempt.finish()
         if how is CallFailure.NOT_SENT:
-            self._context.beliefs.endpoint_failed(attempt.endpoint, certain=True, detail=detail)
+            self._context.endpoint_monitor.endpoint_failed(
+                attempt.endpoint, certain=True, detail=detail
+            )
             self.send_count -= 1
             self._unsent_attempts += 1
             self._retry_not_executed(attempt, detail)
@@ -231,7 +233,9 @@
     def _dispatch(self) -> None:
         """Place the request and start an attempt; no other attempt may be in flight."""
         self._watchdog.stop()
-        standing = self._context.guard.standing(self.content_fingerprint, self.tried_endpoints)
+        standing = self._context.crash_guard.standing(
+            self.content_fingerprint, self.tried_endpoints
+        )
         if standing is ContentStatus.QUARANTINED:
             self._stop_waiting()
             self._refuse_quarantined()
@@ -239,7 +243,7 @@
         if standing is ContentStatus.UNDECIDED:
             # Reports of other daemons may still decide whether this content crashes endpoints.
             self._postpone(
-                self._context.guard.settles_in(self.content_fingerprint, self.tried_endpoints)
+                self._context.crash_guard.settles_in(self.content_fingerprint, self.tried_endpoints)
             )
             return
         need = self.need()
@@ -264,7 +268,7 @@
             return
         self.send_count += 1
         self.tried_endpoints.add(placement.entry.id)
-        self._context.guard.request_sent(standing, placement.entry.id)
+        self._context.crash_guard.request_sent(standing, placement.entry.id)
         self._log_placement(placement, standing)
         self.timing.record_send(self._context.loop.now(), placement.first_event_ms)
         self._attempt = Attempt(self._context, self, placement)
@@ -302,7 +306,7 @@
             self._context.wait_queue.remove(self, served=served)
 
     def _log_placement(self, placement: Placement, standing: ContentStatus) -> None:
-        age = self._context.beliefs.list_age()
+        age = self._context.endpoint_monitor.list_age()
         self._log_decision(
             log_events.PLACED,
             endpoint=placement.entry.id,
@@ -313,7 +317,7 @@
             late=round(placement.lateness_tokens),
             reason=placement.reason,
             send=self.send_count,
-            version=self._context.knowledge.version,
+            version=self._context.routing_state.version,
             list_age=None if age is None else round(age, 3),
             standing=standing.name.lower(),
         )
@@ -360,15 +364,15 @@
         attempt.first_event_received()
         if not self._response_started:
             self._response_started = True
-            self._connection.begin(reply.status, reply.headers)
-        self._connection.data(events)
+            self._connection.start_response(reply.status, reply.headers)
+        self._connection.send_data(events)
         if not self._finished:
             self.restart_stall_timer(None)
 
     def _handle_failure_reply(self, attempt: Attempt, reply: Reply) -> None:
         """Handle a failure reply; the endpoint executed the request."""
         self._may_have_run = True
-        self._context.beliefs.endpoint_answered_failure(
+        self._context.endpoint_monitor.endpoint_answered_failure(
             attempt.endpoint, f"answered {reply.status}"
         )
         if reply.status >= 500 and self.route.repeatable and self._consume_resend():
@@ -382,7 +386,7 @@
             self._fail(f"the endpoint answered {reply.status} and may have run the request")
             return
         self._finish(Outcome.FAILED, reply.status, "the endpoint's own failure")
-        self._connection.answer(reply.status, reply.headers, bytes(attempt.body))
+        self._connection.send_response(reply.status, reply.headers, bytes(attempt.body))
 
     def _retry_not_executed(self, attempt: Attempt, detail: str) -> None:
         attempt.finish()
@@ -398,7 +402,9 @@
     def _handle_lost_attempt(self, attempt: Attempt, detail: str, *, certain: bool) -> None:
         attempt.finish()
         self._may_have_run = True
-        self._context.beliefs.endpoint_failed(attempt.endpoint, certain=certain, detail=detail)
+        self._context.endpoint_monitor.endpoint_failed(
+            attempt.endpoint, certain=certain, detail=detail
+        )
         if self.route.repeatable and self._consume_resend():
             self._resend(detail)
             return
@@ -435,7 +441,7 @@
     def queued_prefill_seconds(self) -> float:
         """Return the seconds of prefill queued at the current attempt's endpoint."""
         assert self._attempt is not None
-        return self._context.table.total(self._attempt.endpoint).pending_prefill_ms / 1000
+        return self._context.load_table.total(self._attempt.endpoint).pending_prefill_ms / 1000
 
     def endpoint_stalled(self, *, certain: bool) -> None:
         """Replace the current attempt after a stall."""
@@ -467,7 +473,7 @@
         return self._context.retries_left(self.service) >= 1.0
 
     def _has_other_endpoint(self, attempt: Attempt) -> bool:
-        usable = self._context.knowledge.usable(self.service)
+        usable = self._context.routing_state.usable(self.service)
         return any(entry.id != attempt.endpoint for entry in usable)
 
     def _deadline_expired(self) -> None:
@@ -488,7 +494,7 @@
             return
         status = 504 if self.time_left <= 0 else 502
         self._finish(Outcome.FAILED, status, detail)
-        self._connection.answer(status, [], b"")
+        self._connection.send_response(status, [], b"")
 
     def _refuse_quarantined(self) -> None:
         """Refuse a request with quarantined content, which crashes the endpoints that run it."""
@@ -500,7 +506,7 @@
         self._refuse(
             detail,
             retry_after_header(
-                self._context.guard.seconds_left(self.content_fingerprint), math.inf
+                self._context.crash_guard.seconds_left(self.content_fingerprint), math.inf
             ),
         )
 
@@ -510,7 +516,7 @@
 
     def _refuse(self, detail: str, headers: Headers) -> None:
         self._finish(Outcome.REFUSED, 503, detail)
-        self._connection.answer(503, headers, b"")
+        self._connection.send_response(503, headers, b"")
 
     def _cancel_attempt(self) -> None:
         if self._attempt is not None:
