--- a/src/brassdrum/contracts/checkpoints.py
+++ b/src/brassdrum/contracts/checkpoints.py
@@ -1,4 +1,4 @@
-"""Write the control state to the log again before the log forgets it."""
+"""Write checkpoints of the control state before the log's retention removes its records."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 __all__ = ["CheckpointWriter"]
 
 _logger = logging.getLogger(__name__)
-_PARTS_OF_RETENTION = 4
+_CHECKPOINTS_PER_RETENTION = 4
 
 
 class CheckpointWriter:
-    """Append a checkpoint when the last one this daemon wrote is old enough."""
+    """Append a checkpoint on acquiring the checkpoint duty and at intervals while holding it."""
 
     def __init__(
         self,
@@ -26,28 +26,28 @@
         clock: Clock,
         with_fold: Callable[[Callable[[ControlFold], object]], object],
         holds_duty: Callable[[], bool],
-        longest_seconds: float,
+        max_interval_seconds: float,
     ) -> None:
         self._log = log
         self._clock = clock
         self._with_fold = with_fold
         self._holds_duty = holds_duty
-        self._longest = longest_seconds
+        self._max_interval_seconds = max_interval_seconds
         self._written_at: float | None = None
-        self._was_holder = False
-        self.written = 0
+        self._written_since_acquired = False
+        self.written_count = 0
 
     def step(self) -> None:
-        """Write a checkpoint if the duty is held and one is due."""
-        holder = self._holds_duty()
-        if not holder:
-            self._was_holder = False
+        """Append a checkpoint if this daemon holds the duty and one is due."""
+        is_holder = self._holds_duty()
+        if not is_holder:
+            self._written_since_acquired = False
             return
         now = self._clock.monotonic()
         due = self._written_at is None or now - self._written_at >= self._interval()
-        if self._was_holder and not due:
+        if self._written_since_acquired and not due:
             return
-        value = self._with_fold(_dump)
+        value = self._with_fold(_dump_checkpoint)
         if value is None:
             return
         try:
@@ -55,22 +55,22 @@
         except PlatformUnavailableError as error:
             _logger.warning("checkpoint not confirmed", extra={"reason": str(error)})
             return
-        self._was_holder = True
+        self._written_since_acquired = True
         self._written_at = now
-        self.written += 1
+        self.written_count += 1
 
     def _interval(self) -> float:
-        retention = self._with_fold(_retention)
+        retention = self._with_fold(_log_retention_seconds)
         assert isinstance(retention, float)
-        return min(self._longest, retention / _PARTS_OF_RETENTION)
+        return min(self._max_interval_seconds, retention / _CHECKPOINTS_PER_RETENTION)
 
 
-def _dump(fold: ControlFold) -> object:
+def _dump_checkpoint(fold: ControlFold) -> object:
     if fold.through < 0 or fold.configuration() is None:
         return None
     return fold.checkpoint().model_dump(mode="json")
 
 
-def _retention(fold: ControlFold) -> float:
+def _log_retention_seconds(fold: ControlFold) -> float:
     configuration = fold.configuration()
     return float("inf") if configuration is None else configuration.log_retention_seconds
