--- a/src/brassdrum/contracts/documents.py
+++ b/src/brassdrum/contracts/documents.py
@@ -1,4 +1,7 @@
-"""Validated models of the documents that operators publish (format 1, frozen)."""
+"""Models that validate the documents that operators publish.
+
+Format 1 is frozen: its fields don't change.
+"""
 
 from __future__ import annotations
 
@@ -36,14 +39,14 @@
 
 
 class DocumentKind(StrEnum):
-    """Name the kinds of documents."""
+    """Kind of a published document."""
 
     CONTRACT = "contract"
     CONFIGURATION = "configuration"
 
 
 class Urgency(StrEnum):
-    """Order work by how soon it is needed."""
+    """Scheduling priority of an organisation's requests."""
 
     INTERACTIVE = "interactive"
     STANDARD = "standard"
@@ -51,31 +54,31 @@
 
     @property
     def rank(self) -> int:
-        """Return 0 for the most urgent."""
+        """Return the position in the order of urgency, 0 for the most urgent."""
         return list(Urgency).index(self)
 
 
 class EndpointKind(StrEnum):
-    """Tell model engines from plain services."""
+    """Kind of an endpoint: a model engine or a plain service."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
-class _Strict(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class ApiKey(_Strict):
-    """Keep an API key as a salted hash; see ``contracts.keys``."""
+class ApiKey(_StrictModel):
+    """API key, stored as a salted hash; see ``contracts.keys``."""
 
     id: Name
     salt: Annotated[str, Field(pattern=r"^[0-9a-f]{16,64}$")]
     hash: Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
 
 
-class ContractLimits(_Strict):
-    """Bound what one organisation may use, over all daemons together."""
+class ContractLimits(_StrictModel):
+    """Limits of one organisation, enforced across all daemons."""
 
     requests_per_second: Annotated[float, Field(gt=0)]
     tokens_per_second: Annotated[float, Field(gt=0)]
@@ -84,14 +87,14 @@
     longest_answer: Annotated[int, Field(ge=1)]
 
 
-class Repeatable(_Strict):
-    """Name the models whose requests may run more than once."""
+class Repeatable(_StrictModel):
+    """Models whose requests may run more than once."""
 
     models: list[Name] = []
 
 
-class Contract(_Strict):
-    """Describe everything one organisation may do."""
+class Contract(_StrictModel):
+    """Permissions, limits and API keys of one organisation."""
 
     format: Literal[1]
     kind: Literal["contract"]
@@ -107,8 +110,8 @@
     repeatable: Repeatable = Repeatable()
 
 
-class Model(_Strict):
-    """Describe one model and how its prompts are counted."""
+class Model(_StrictModel):
+    """Model, with the figures to estimate a prompt's tokens and prefill time."""
 
     name: Name
     context_tokens: Annotated[int, Field(ge=1)]
@@ -116,8 +119,8 @@
     prefill_tokens_per_second: Annotated[float, Field(gt=0)] = 20_000.0
 
 
-class Endpoint(_Strict):
-    """Describe one replica of an engine or of a plain service."""
+class Endpoint(_StrictModel):
+    """Replica of an engine or of a plain service."""
 
     name: Name
     kind: EndpointKind
@@ -133,29 +136,29 @@
     @model_validator(mode="after")
     def _check_kind(self) -> Endpoint:
         if self.kind is EndpointKind.SERVICE and self.service is None:
-            raise ValueError("a service endpoint names its service in 'service'")
+            raise ValueError("a service endpoint requires 'service'")
         if self.kind is EndpointKind.ENGINE and self.kv_tokens == 0:
-            raise ValueError("an engine endpoint gives its memory in 'kv_tokens'")
+            raise ValueError("an engine endpoint requires a positive 'kv_tokens'")
         return self
 
 
-class ServiceCall(_Strict):
-    """Declare one call of a plain service; what is not declared may not be repeated."""
+class ServiceCall(_StrictModel):
+    """Call of a plain service; an undeclared call is not repeatable."""
 
     method: Literal["GET", "HEAD", "PUT", "POST", "DELETE", "PATCH"]
     path: Annotated[str, Field(pattern=r"^/")]
     repeatable: bool = False
 
 
-class Service(_Strict):
-    """Describe one plain service."""
+class Service(_StrictModel):
+    """Plain service and its declared calls."""
 
     name: Name
     calls: list[ServiceCall] = []
 
 
-class Policy(_Strict):
-    """Weigh the goals of routing."""
+class Policy(_StrictModel):
+    """Routing policy and its parameters."""
 
     name: str = "length_aware"
     short_weight: Annotated[float, Field(ge=0, le=1)] = 0.5
@@ -165,8 +168,8 @@
     retry_share: Annotated[float, Field(ge=0, le=1)] = 0.1
 
 
-class Configuration(_Strict):
-    """Describe the fleet; there is one, named ``fleet``."""
+class Configuration(_StrictModel):
+    """Configuration of the fleet; the only one is named ``fleet``."""
 
     format: Literal[1]
     kind: Literal["configuration"]
@@ -184,32 +187,34 @@
             raise ValueError("idempotency_window_seconds must be below log_retention_seconds")
         names = [endpoint.name for endpoint in self.endpoints]
         if len(set(names)) != len(names):
-            raise ValueError("two endpoints share a name; give each its own")
+            raise ValueError("endpoint names must be unique")
         models = {model.name for model in self.models}
         services = {service.name for service in self.services}
         for endpoint in self.endpoints:
             for model in endpoint.models:
                 if model not in models:
-                    raise ValueError(f"endpoint {endpoint.name} names unknown model {model}")
+                    raise ValueError(f"endpoint {endpoint.name} refers to unknown model {model}")
             if endpoint.service is not None and endpoint.service not in services:
-                raise ValueError(f"endpoint {endpoint.name} names unknown {endpoint.service}")
+                raise ValueError(
+                    f"endpoint {endpoint.name} refers to unknown service {endpoint.service}"
+                )
         return self
 
 
 Document = Annotated[Contract | Configuration, Field(discriminator="kind")]
-_ADAPTER: TypeAdapter[Contract | Configuration] = TypeAdapter(Document)
+_DOCUMENT_ADAPTER: TypeAdapter[Contract | Configuration] = TypeAdapter(Document)
 
 
 def parse_document(content: object, source: str = "document") -> Contract | Configuration:
-    """Return a validated document, or raise ``InvalidDocumentError``."""
+    """Return the validated model of a document, or raise ``InvalidDocumentError``."""
     try:
-        return _ADAPTER.validate_python(content)
+        return _DOCUMENT_ADAPTER.validate_python(content)
     except ValidationError as error:
         raise validation_error(source, error) from error
 
 
 def document_name(document: Contract | Configuration) -> str:
-    """Return the name that a document is kept under within its kind."""
+    """Return a document's name, which is unique within its kind."""
     if isinstance(document, Contract):
         return document.organisation
     return document.name
@@ -217,4 +222,4 @@
 
 def schema() -> dict[str, object]:
     """Return the JSON Schema of all documents."""
-    return _ADAPTER.json_schema()
+    return _DOCUMENT_ADAPTER.json_schema()
