--- a/src/brassdrum/contracts/keys.py
+++ b/src/brassdrum/contracts/keys.py
@@ -1,4 +1,4 @@
-"""Hash, make and check API keys."""
+"""Generate, hash and verify API keys."""
 
 from __future__ import annotations
 
@@ -9,41 +9,44 @@
 
 from brassdrum.contracts.documents import ApiKey, Contract
 
-__all__ = ["KeyIndex", "KeyOwner", "hash_key", "make_key", "split_key"]
+__all__ = ["KeyIndex", "KeyOwner", "hash_key", "make_key", "parse_key_id"]
 
-_PREFIX = "bd"
+_KEY_PREFIX = "bd"
 
 
 @dataclass(frozen=True, slots=True)
 class KeyOwner:
-    """Tell whose key a caller presented."""
+    """Organisation and id of a verified API key."""
 
     organisation: str
     key_id: str
 
 
 def hash_key(secret: str, salt: str) -> str:
-    """Return the salted hash of a key; keys are random, so one round suffices."""
+    """Return the salted hash of a key.
+
+    Keys are random and long, so a slow password hash isn't needed.
+    """
     return hashlib.sha256(f"{salt}:{secret}".encode()).hexdigest()
 
 
 def make_key(key_id: str) -> tuple[str, ApiKey]:
-    """Return a new key to hand to the caller, and its form for the contract."""
-    secret = f"{_PREFIX}_{key_id}_{secrets.token_urlsafe(24)}"
+    """Return a new random key and its hashed entry for the contract."""
+    secret = f"{_KEY_PREFIX}_{key_id}_{secrets.token_urlsafe(24)}"
     salt = secrets.token_hex(16)
     return secret, ApiKey(id=key_id, salt=salt, hash=hash_key(secret, salt))
 
 
-def split_key(secret: str) -> str | None:
-    """Return the id inside a key, or None when it has none."""
+def parse_key_id(secret: str) -> str | None:
+    """Return the key id embedded in a key, or None if the key is malformed."""
     parts = secret.split("_", 2)
-    if len(parts) != 3 or parts[0] != _PREFIX:
+    if len(parts) != 3 or parts[0] != _KEY_PREFIX:
         return None
     return parts[1]
 
 
 class KeyIndex:
-    """Find the organisation of an API key."""
+    """Index of the API keys of all contracts by key id."""
 
     def __init__(self, contracts: list[Contract]) -> None:
         self._by_id: dict[str, list[tuple[str, ApiKey]]] = {}
@@ -54,7 +57,7 @@
     def find(self, secret: str) -> KeyOwner | None:
         """Return the owner of a key, comparing hashes in constant time."""
         found = None
-        for organisation, key in self._by_id.get(split_key(secret) or "", []):
+        for organisation, key in self._by_id.get(parse_key_id(secret) or "", []):
             if hmac.compare_digest(hash_key(secret, key.salt), key.hash):
                 found = KeyOwner(organisation, key.id)
         return found
