--- a/src/brassdrum/contracts/__init__.py
+++ b/src/brassdrum/contracts/__init__.py
@@ -1,1 +1,1 @@
-"""Contracts and configuration: documents, their acceptance and their checkpoints."""
+"""Contracts and configuration: document models, control state and checkpoints."""
--- a/src/brassdrum/contracts/view.py
+++ b/src/brassdrum/contracts/view.py
@@ -1,4 +1,4 @@
-"""Show accepted documents the way the request path needs them."""
+"""Immutable view of the accepted documents, indexed for the request path."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """Hold one revision of everything accepted; never changed once made."""
+    """Immutable snapshot of the accepted documents at one revision."""
 
     revision: int
     configuration: Configuration
@@ -23,8 +23,8 @@
     keys: KeyIndex
 
     @classmethod
-    def of(cls, fold: ControlFold) -> FleetView | None:
-        """Return the view of a fold's state, or None before the first configuration."""
+    def from_fold(cls, fold: ControlFold) -> FleetView | None:
+        """Return a snapshot of a fold's state, or None before the first configuration."""
         configuration = fold.configuration()
         if configuration is None:
             return None
@@ -32,7 +32,7 @@
         return cls(
             revision=fold.revision,
             configuration=configuration,
-            contracts_by_organisation={item.organisation: item for item in contracts},
+            contracts_by_organisation={contract.organisation: contract for contract in contracts},
             models_by_name={model.name: model for model in configuration.models},
             services_by_name={service.name: service for service in configuration.services},
             keys=KeyIndex(contracts),
--- a/src/brassdrum/daemon/control.py
+++ b/src/brassdrum/daemon/control.py
@@ -239,7 +239,7 @@
         self._has_gap = True
 
     def _publish_view(self) -> None:
-        view = FleetView.of(self._fold)
+        view = FleetView.from_fold(self._fold)
         if view is None:
             return
         self._view = view
