--- a/src/brassdrum/contracts/fold.py
+++ b/src/brassdrum/contracts/fold.py
@@ -15,7 +15,7 @@
     Publish,
     PublishedDocument,
     UnreadableRecordError,
-    digest_of,
+    checkpoint_digest,
     parse_control_record,
 )
 from brassdrum.errors import InvalidDocumentError
@@ -151,7 +151,7 @@
             through=self.through,
             documents=documents,
             duties=duties,
-            digest=digest_of(documents, duties),
+            digest=checkpoint_digest(documents, duties),
         )
 
     def _skip(self, offset: int, reason: str) -> None:
--- a/src/brassdrum/contracts/records.py
+++ b/src/brassdrum/contracts/records.py
@@ -1,4 +1,7 @@
-"""Validated models of the records in the platform's log (format 1, frozen)."""
+"""Models that validate the records in the platform's log.
+
+Format 1 is frozen: its fields don't change.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
     "UnreadableRecordError",
     "canonical_json",
     "claim_stream",
-    "digest_of",
+    "checkpoint_digest",
     "parse_checkpoint",
     "parse_control_record",
 ]
@@ -32,32 +35,32 @@
 RECORD_FORMAT = 1
 CONTROL_STREAM = "control"
 CHECKPOINT_STREAM = "checkpoints"
-# All daemons must agree on the shard of a key, so the number is no setting of a daemon.
+# Not a setting, because all daemons must map a key to the same shard.
 CLAIM_SHARDS = 1
 
 
 def claim_stream(shard: int) -> str:
-    """Return the name of one shard's stream of claims."""
+    """Return the name of a shard's claim stream."""
     return f"claims-{shard}"
 
 
 class UnreadableRecordError(ValueError):
-    """Tell that a record is garbage and is skipped."""
+    """Raised for an invalid record, which readers skip."""
 
 
 class NewerFormatError(ValueError):
-    """Tell that a record was written by a newer version of the program."""
+    """Raised for a record in a newer format than this version supports."""
 
 
-class _Strict(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 RecordId = Annotated[str, Field(min_length=8, max_length=64)]
 
 
-class PublishedDocument(_Strict):
-    """Carry one document and the revision that its change was based on."""
+class PublishedDocument(_StrictModel):
+    """Document in a publish, with the revision that it replaces; no body deletes it."""
 
     kind: Literal["contract", "configuration"]
     name: str
@@ -65,8 +68,8 @@
     body: dict[str, object] | None = None
 
 
-class Publish(_Strict):
-    """Ask for documents to be accepted, all or none."""
+class Publish(_StrictModel):
+    """Request to publish documents atomically."""
 
     format: Literal[1]
     kind: Literal["publish"]
@@ -75,8 +78,11 @@
     documents: Annotated[list[PublishedDocument], Field(min_length=1)]
 
 
-class LeaseRecord(_Strict):
-    """Claim, renew or release a duty; counts only if it names the duty's last record."""
+class LeaseRecord(_StrictModel):
+    """Claim, renewal or release of a duty's lease.
+
+    It takes effect only if ``previous`` is the offset of the duty's last record.
+    """
 
     format: Literal[1]
     kind: Literal["lease"]
@@ -88,8 +94,8 @@
     term_seconds: Annotated[float, Field(gt=0)]
 
 
-class CheckpointDocument(_Strict):
-    """Keep one accepted document with its revision; a deleted one has no body."""
+class CheckpointDocument(_StrictModel):
+    """Accepted document in a checkpoint; a deleted one has no body."""
 
     kind: Literal["contract", "configuration"]
     name: str
@@ -97,8 +103,8 @@
     body: dict[str, object] | None
 
 
-class CheckpointDuty(_Strict):
-    """Keep who holds a duty."""
+class CheckpointDuty(_StrictModel):
+    """State of a duty's lease in a checkpoint."""
 
     duty: str
     holder: str | None
@@ -107,8 +113,8 @@
     term_seconds: float
 
 
-class Checkpoint(_Strict):
-    """Keep the control state up to and including one offset."""
+class Checkpoint(_StrictModel):
+    """Control state after the record at offset ``through``."""
 
     format: Literal[1]
     kind: Literal["checkpoint"]
@@ -120,16 +126,16 @@
 
 
 ControlRecord = Annotated[Publish | LeaseRecord, Field(discriminator="kind")]
-_CONTROL: TypeAdapter[Publish | LeaseRecord] = TypeAdapter(ControlRecord)
+_CONTROL_ADAPTER: TypeAdapter[Publish | LeaseRecord] = TypeAdapter(ControlRecord)
 
 
 def canonical_json(value: object) -> bytes:
-    """Return one byte form for equal values."""
+    """Encode a value as JSON with sorted keys and no whitespace."""
     return json.dumps(value, sort_keys=True, separators=(",", ":")).encode()
 
 
-def digest_of(documents: list[CheckpointDocument], duties: list[CheckpointDuty]) -> str:
-    """Return the checksum of a checkpoint's content."""
+def checkpoint_digest(documents: list[CheckpointDocument], duties: list[CheckpointDuty]) -> str:
+    """Return the SHA-256 digest of a checkpoint's content."""
     content = {
         "documents": [document.model_dump(mode="json") for document in documents],
         "duties": [duty.model_dump(mode="json") for duty in duties],
@@ -142,25 +148,25 @@
         raise UnreadableRecordError("the record is not a JSON object")
     number = value.get("format")
     if isinstance(number, int) and not isinstance(number, bool) and number > RECORD_FORMAT:
-        raise NewerFormatError(f"record format {number}; this program knows {RECORD_FORMAT}")
+        raise NewerFormatError(f"record format {number}; this version supports {RECORD_FORMAT}")
 
 
 def parse_control_record(value: object) -> Publish | LeaseRecord:
     """Return a control record, or raise ``UnreadableRecordError`` or ``NewerFormatError``."""
     _check_format(value)
     try:
-        return _CONTROL.validate_python(value)
+        return _CONTROL_ADAPTER.validate_python(value)
     except ValidationError as error:
         raise UnreadableRecordError(str(error.errors(include_url=False)[0]["msg"])) from error
 
 
 def parse_checkpoint(value: object) -> Checkpoint:
-    """Return a checkpoint whose checksum holds, or raise as ``parse_control_record``."""
+    """Return a checkpoint with a valid digest, or raise as ``parse_control_record``."""
     _check_format(value)
     try:
         checkpoint = Checkpoint.model_validate(value)
     except ValidationError as error:
         raise UnreadableRecordError(str(error.errors(include_url=False)[0]["msg"])) from error
-    if digest_of(checkpoint.documents, checkpoint.duties) != checkpoint.digest:
-        raise UnreadableRecordError("the checkpoint's checksum does not match its content")
+    if checkpoint_digest(checkpoint.documents, checkpoint.duties) != checkpoint.digest:
+        raise UnreadableRecordError("the checkpoint's digest does not match its content")
     return checkpoint
