--- a/src/brassdrum/contracts/fold.py
+++ b/src/brassdrum/contracts/fold.py
@@ -12,8 +12,8 @@
     CheckpointDocument,
     LeaseRecord,
     NewerFormatError,
-    Publish,
     PublishedDocument,
+    PublishRecord,
     UnreadableRecordError,
     checkpoint_digest,
     parse_control_record,
@@ -159,7 +159,7 @@
         self.skipped_count += 1
         self.skipped.append(SkippedRecord(offset, reason))
 
-    def _judge(self, offset: int, record: Publish) -> Judgement:
+    def _judge(self, offset: int, record: PublishRecord) -> Judgement:
         earlier = self.judgements_by_id.get(record.id)
         if earlier is not None:
             return earlier
@@ -175,7 +175,7 @@
             self.judgements_by_id.popitem(last=False)
         return judgement
 
-    def _refusal(self, keys: tuple[DocumentKey, ...], record: Publish) -> str:
+    def _refusal(self, keys: tuple[DocumentKey, ...], record: PublishRecord) -> str:
         if len(set(keys)) != len(keys):
             return "the publish names one document twice; publish each once"
         for key, published in zip(keys, record.documents, strict=True):
@@ -206,7 +206,7 @@
             return f"{key}: the document inside is {content.kind}/{name}"
         return ""
 
-    def _accept(self, offset: int, record: Publish) -> None:
+    def _accept(self, offset: int, record: PublishRecord) -> None:
         for published in record.documents:
             key = DocumentKey(DocumentKind(published.kind), published.name)
             content = None if published.body is None else parse_document(published.body, str(key))
--- a/src/brassdrum/contracts/records.py
+++ b/src/brassdrum/contracts/records.py
@@ -23,7 +23,7 @@
     "LeaseRecord",
     "NewerFormatError",
     "PublishedDocument",
-    "Publish",
+    "PublishRecord",
     "UnreadableRecordError",
     "canonical_json",
     "claim_stream",
@@ -68,7 +68,7 @@
     body: dict[str, object] | None = None
 
 
-class Publish(_StrictModel):
+class PublishRecord(_StrictModel):
     """Request to publish documents atomically."""
 
     format: Literal[1]
@@ -125,8 +125,8 @@
     digest: str
 
 
-ControlRecord = Annotated[Publish | LeaseRecord, Field(discriminator="kind")]
-_CONTROL_ADAPTER: TypeAdapter[Publish | LeaseRecord] = TypeAdapter(ControlRecord)
+ControlRecord = Annotated[PublishRecord | LeaseRecord, Field(discriminator="kind")]
+_CONTROL_ADAPTER: TypeAdapter[PublishRecord | LeaseRecord] = TypeAdapter(ControlRecord)
 
 
 def canonical_json(value: object) -> bytes:
@@ -151,7 +151,7 @@
         raise NewerFormatError(f"record format {number}; this version supports {RECORD_FORMAT}")
 
 
-def parse_control_record(value: object) -> Publish | LeaseRecord:
+def parse_control_record(value: object) -> PublishRecord | LeaseRecord:
     """Return a control record, or raise ``UnreadableRecordError`` or ``NewerFormatError``."""
     _check_format(value)
     try:
--- a/src/brassdrum/logservice/publish.py
+++ b/src/brassdrum/logservice/publish.py
@@ -10,7 +10,7 @@
 from brassdrum.clock import Clock, SystemClock
 from brassdrum.contracts.documents import Configuration, Contract, document_name
 from brassdrum.contracts.fold import ControlFold, DocumentKey, Judgement
-from brassdrum.contracts.records import CONTROL_STREAM, Publish, PublishedDocument
+from brassdrum.contracts.records import CONTROL_STREAM, PublishedDocument, PublishRecord
 from brassdrum.daemon.control import best_checkpoint
 from brassdrum.errors import PlatformUnavailableError
 from brassdrum.http_pool import ConnectFailedError, ExchangeFailedError, HttpPool
@@ -84,7 +84,7 @@
 
     def _record(
         self, documents: list[Contract | Configuration], fold: ControlFold, base: int | None
-    ) -> Publish:
+    ) -> PublishRecord:
         published = []
         for document in documents:
             name = document_name(document)
@@ -96,7 +96,7 @@
                     body=document.model_dump(mode="json"),
                 )
             )
-        return Publish(
+        return PublishRecord(
             format=1,
             kind="publish",
             id=str(uuid.uuid4()),
@@ -104,7 +104,7 @@
             documents=published,
         )
 
-    def _append(self, record: Publish) -> None:
+    def _append(self, record: PublishRecord) -> None:
         try:
             self._log.append(CONTROL_STREAM, [record.model_dump(mode="json")])
         except PlatformUnavailableError as error:
