--- a/src/brassdrum/contracts/fold.py
+++ b/src/brassdrum/contracts/fold.py
@@ -1,4 +1,4 @@
-"""Judge the control stream: every daemon computes the same state from the same records."""
+"""Replicated control state, computed deterministically from the control stream."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 __all__ = ["AcceptedDocument", "ControlFold", "DocumentKey", "Judgement", "SkippedRecord"]
 
-_JUDGEMENTS_KEPT = 4096
-_SKIPPED_KEPT = 64
+_MAX_RESULTS = 4096
+_MAX_SKIPPED_RECORDS = 64
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class DocumentKey:
-    """Identify one document."""
+    """Key of a document: its kind and its name within that kind."""
 
     kind: DocumentKind
     name: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedDocument:
-    """Keep what was accepted for one key; a deleted document has no content."""
+    """Accepted revision of a document; a deleted document has no body and no content."""
 
     key: DocumentKey
     revision: int
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Judgement:
-    """Tell whether a publish was accepted, and if not, by what it lost."""
+    """Outcome of a publish; ``reason`` says why it was rejected."""
 
     record_id: str
     offset: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SkippedRecord:
-    """Tell operators which record was garbage."""
+    """Offset of an invalid record and why it was skipped."""
 
     offset: int
     reason: str
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class ControlFold:
-    """Hold the state that follows from the records applied so far."""
+    """Control state after the records applied so far."""
 
     next_offset: int = 0
     revision: int = -1
@@ -79,11 +79,13 @@
     documents_by_key: dict[DocumentKey, AcceptedDocument] = field(default_factory=dict)
     leases: LeaseTable = field(default_factory=LeaseTable)
     judgements_by_id: OrderedDict[str, Judgement] = field(default_factory=OrderedDict)
-    skipped: deque[SkippedRecord] = field(default_factory=lambda: deque(maxlen=_SKIPPED_KEPT))
+    skipped: deque[SkippedRecord] = field(
+        default_factory=lambda: deque(maxlen=_MAX_SKIPPED_RECORDS)
+    )
 
     @property
     def through(self) -> int:
-        """Return the offset of the last record applied, -1 for none."""
+        """Return the offset of the last applied record, -1 for none."""
         return self.next_offset - 1
 
     def contracts(self) -> list[Contract]:
@@ -99,10 +101,10 @@
         return document.content
 
     def apply(self, offset: int, value: object) -> Judgement | None:
-        """Apply the record at an offset; return the judgement of a publish.
+        """Apply the record at an offset; return the outcome of a publish.
 
-        Records below ``next_offset`` were applied before and are ignored. After a record of a
-        newer format the fold stands still: what is in force stays so until an upgrade.
+        Records below ``next_offset`` were applied before and are ignored. After a record in a
+        newer format no record is applied: the accepted state stays in force until an upgrade.
         """
         if offset < self.next_offset or self.needs_upgrade is not None:
             return None
@@ -112,23 +114,23 @@
             self.needs_upgrade = f"offset {offset}: {error}"
             return None
         except UnreadableRecordError as error:
-            self._skip(offset, str(error))
+            self._record_skipped(offset, str(error))
             return None
         self.next_offset = offset + 1
         if isinstance(record, LeaseRecord):
             self.leases.apply(offset, record)
             return None
-        return self._judge(offset, record)
+        return self._apply_publish(offset, record)
 
     def load(self, checkpoint: Checkpoint) -> bool:
-        """Take a checkpoint's state if it is ahead of this one; never go back."""
+        """Replace the state with a checkpoint's if that is newer; return whether it was."""
         if checkpoint.through < self.next_offset:
             return False
         documents = {}
-        for kept in checkpoint.documents:
-            key = DocumentKey(DocumentKind(kept.kind), kept.name)
-            content = None if kept.body is None else parse_document(kept.body, str(key))
-            documents[key] = AcceptedDocument(key, kept.revision, kept.body, content)
+        for saved in checkpoint.documents:
+            key = DocumentKey(DocumentKind(saved.kind), saved.name)
+            content = None if saved.body is None else parse_document(saved.body, str(key))
+            documents[key] = AcceptedDocument(key, saved.revision, saved.body, content)
         self.documents_by_key = documents
         self.revision = max((document.revision for document in documents.values()), default=-1)
         self.leases.load(checkpoint.duties)
@@ -136,7 +138,7 @@
         return True
 
     def checkpoint(self) -> Checkpoint:
-        """Return a checkpoint of the present state."""
+        """Return a checkpoint of the current state."""
         documents = [
             CheckpointDocument(
                 kind=key.kind.value, name=key.name, revision=document.revision, body=document.body
@@ -154,37 +156,37 @@
             digest=checkpoint_digest(documents, duties),
         )
 
-    def _skip(self, offset: int, reason: str) -> None:
+    def _record_skipped(self, offset: int, reason: str) -> None:
         self.next_offset = offset + 1
         self.skipped_count += 1
         self.skipped.append(SkippedRecord(offset, reason))
 
-    def _judge(self, offset: int, record: PublishRecord) -> Judgement:
+    def _apply_publish(self, offset: int, record: PublishRecord) -> Judgement:
         earlier = self.judgements_by_id.get(record.id)
         if earlier is not None:
             return earlier
         keys = tuple(
             DocumentKey(DocumentKind(document.kind), document.name) for document in record.documents
         )
-        reason = self._refusal(keys, record)
+        reason = self._rejection_reason(keys, record)
         judgement = Judgement(record.id, offset, not reason, record.operator, keys, reason)
         if judgement.accepted:
             self._accept(offset, record)
         self.judgements_by_id[record.id] = judgement
-        if len(self.judgements_by_id) > _JUDGEMENTS_KEPT:
+        if len(self.judgements_by_id) > _MAX_RESULTS:
             self.judgements_by_id.popitem(last=False)
         return judgement
 
-    def _refusal(self, keys: tuple[DocumentKey, ...], record: PublishRecord) -> str:
+    def _rejection_reason(self, keys: tuple[DocumentKey, ...], record: PublishRecord) -> str:
         if len(set(keys)) != len(keys):
-            return "the publish names one document twice; publish each once"
+            return "the publish contains a document twice; include each document once"
         for key, published in zip(keys, record.documents, strict=True):
-            reason = self._conflict(key, published) or self._defect(key, published)
+            reason = self._conflict_reason(key, published) or self._invalid_reason(key, published)
             if reason:
                 return reason
         return ""
 
-    def _conflict(self, key: DocumentKey, published: PublishedDocument) -> str:
+    def _conflict_reason(self, key: DocumentKey, published: PublishedDocument) -> str:
         current = self.documents_by_key.get(key)
         revision = -1 if current is None else current.revision
         if published.base == revision:
@@ -194,7 +196,7 @@
             f"read it, merge, and publish with --base {revision}"
         )
 
-    def _defect(self, key: DocumentKey, published: PublishedDocument) -> str:
+    def _invalid_reason(self, key: DocumentKey, published: PublishedDocument) -> str:
         if published.body is None:
             return "" if key in self.documents_by_key else f"{key} does not exist"
         try:
@@ -203,7 +205,7 @@
             return error.message
         name = content.organisation if isinstance(content, Contract) else content.name
         if content.kind != key.kind.value or name != key.name:
-            return f"{key}: the document inside is {content.kind}/{name}"
+            return f"{key}: the body is of {content.kind}/{name}"
         return ""
 
     def _accept(self, offset: int, record: PublishRecord) -> None:
