--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -73,7 +73,7 @@
     assert context.judgement.accepted
     context.site.platform.faults.delay_appends_seconds = 0.0
     fold = read_control(log_of(context))
-    accepted = [item for item in fold.judgements_by_id.values() if item.operator == "anna"]
+    accepted = [item for item in fold.results_by_id.values() if item.operator == "anna"]
     assert len(accepted) == 1 and accepted[0].accepted
 
 
--- a/src/brassdrum/contracts/fold.py
+++ b/src/brassdrum/contracts/fold.py
@@ -21,7 +21,7 @@
 from brassdrum.errors import InvalidDocumentError
 from brassdrum.leadership.lease import LeaseTable
 
-__all__ = ["AcceptedDocument", "ControlFold", "DocumentKey", "Judgement", "SkippedRecord"]
+__all__ = ["AcceptedDocument", "ControlFold", "DocumentKey", "PublishResult", "SkippedRecord"]
 
 _MAX_RESULTS = 4096
 _MAX_SKIPPED_RECORDS = 64
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
+class PublishResult:
     """Outcome of a publish; ``reason`` says why it was rejected."""
 
     record_id: str
@@ -78,7 +78,7 @@
     skipped_count: int = 0
     documents_by_key: dict[DocumentKey, AcceptedDocument] = field(default_factory=dict)
     leases: LeaseTable = field(default_factory=LeaseTable)
-    judgements_by_id: OrderedDict[str, Judgement] = field(default_factory=OrderedDict)
+    results_by_id: OrderedDict[str, PublishResult] = field(default_factory=OrderedDict)
     skipped: deque[SkippedRecord] = field(
         default_factory=lambda: deque(maxlen=_MAX_SKIPPED_RECORDS)
     )
@@ -100,7 +100,7 @@
             return None
         return document.content
 
-    def apply(self, offset: int, value: object) -> Judgement | None:
+    def apply(self, offset: int, value: object) -> PublishResult | None:
         """Apply the record at an offset; return the outcome of a publish.
 
         Records below ``next_offset`` were applied before and are ignored. After a record in a
@@ -161,21 +161,21 @@
         self.skipped_count += 1
         self.skipped.append(SkippedRecord(offset, reason))
 
-    def _apply_publish(self, offset: int, record: PublishRecord) -> Judgement:
-        earlier = self.judgements_by_id.get(record.id)
+    def _apply_publish(self, offset: int, record: PublishRecord) -> PublishResult:
+        earlier = self.results_by_id.get(record.id)
         if earlier is not None:
             return earlier
         keys = tuple(
             DocumentKey(DocumentKind(document.kind), document.name) for document in record.documents
         )
         reason = self._rejection_reason(keys, record)
-        judgement = Judgement(record.id, offset, not reason, record.operator, keys, reason)
-        if judgement.accepted:
+        result = PublishResult(record.id, offset, not reason, record.operator, keys, reason)
+        if result.accepted:
             self._accept(offset, record)
-        self.judgements_by_id[record.id] = judgement
-        if len(self.judgements_by_id) > _MAX_RESULTS:
-            self.judgements_by_id.popitem(last=False)
-        return judgement
+        self.results_by_id[record.id] = result
+        if len(self.results_by_id) > _MAX_RESULTS:
+            self.results_by_id.popitem(last=False)
+        return result
 
     def _rejection_reason(self, keys: tuple[DocumentKey, ...], record: PublishRecord) -> str:
         if len(set(keys)) != len(keys):
--- a/src/brassdrum/logservice/publish.py
+++ b/src/brassdrum/logservice/publish.py
@@ -9,7 +9,7 @@
 
 from brassdrum.clock import Clock, SystemClock
 from brassdrum.contracts.documents import Configuration, Contract, document_name
-from brassdrum.contracts.fold import ControlFold, DocumentKey, Judgement
+from brassdrum.contracts.fold import ControlFold, DocumentKey, PublishResult
 from brassdrum.contracts.records import CONTROL_STREAM, PublishedDocument, PublishRecord
 from brassdrum.daemon.control import best_checkpoint
 from brassdrum.errors import PlatformUnavailableError
@@ -60,7 +60,7 @@
 
     def publish(
         self, documents: list[Contract | Configuration], base: int | None = None
-    ) -> Judgement:
+    ) -> PublishResult:
         """Publish documents together.
 
         Without a base each document replaces the revision in the log now. A lost answer is no
@@ -110,12 +110,12 @@
         except PlatformUnavailableError as error:
             _logger.warning("append not confirmed", extra={"reason": error.message})
 
-    def _judgement(self, record_id: str, fold: ControlFold) -> Judgement | None:
+    def _judgement(self, record_id: str, fold: ControlFold) -> PublishResult | None:
         try:
             follow(self._log, fold, _READ_WAIT_SECONDS)
         except PlatformUnavailableError as error:
             _logger.warning("log not readable", extra={"reason": error.message})
-        return fold.judgements_by_id.get(record_id)
+        return fold.results_by_id.get(record_id)
 
 
 def _revision(fold: ControlFold, kind: str, name: str) -> int:
