--- a/src/brassdrum/contracts/fold.py
+++ b/src/brassdrum/contracts/fold.py
@@ -205,7 +205,7 @@
             return error.message
         name = content.organisation if isinstance(content, Contract) else content.name
         if content.kind != key.kind.value or name != key.name:
-            return f"{key}: the body is of {content.kind}/{name}"
+            return f"{key}: the body describes {content.kind}/{name}"
         return ""
 
     def _accept(self, offset: int, record: PublishRecord) -> None:
