--- a/src/brassdrum/contracts/fold.py
+++ b/src/brassdrum/contracts/fold.py
@@ -1,4 +1,4 @@
-"""Judge the control stream: every daemon computes the same state from the same records."""
+"""Replicated control state, computed deterministically from the control stream."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
     CheckpointDocument,
     LeaseRecord,
     NewerFormatError,
-    Publish,
     PublishedDocument,
+    PublishRecord,
     UnreadableRecordError,
-    digest_of,
+    checkpoint_digest,
     parse_control_record,
 )
 from brassdrum.errors import InvalidDocumentError
 from brassdrum.leadership.lease import LeaseTable
 
-__all__ = ["AcceptedDocument", "ControlFold", "DocumentKey", "Judgement", "SkippedRecord"]
+__all__ = ["AcceptedDocument", "ControlFold", "DocumentKey", "PublishResult", "SkippedRecord"]
 
-_JUDGEMENTS_KEPT = 4096
-_SKIPPED_KEPT = 64
+_MAX_RESULTS = 4096
+_MAX_SKIPPED_RECORDS = 64
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class DocumentKey:
-    """Identify one document."""
+    """Key of a document: its kind and its name within that kind."""
 
     kind: DocumentKind
     name: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedDocument:
-    """Keep what was accepted for one key; a deleted document has no content."""
+    """Accepted revision of a document; a deleted document has no body and no content."""
 
     key: DocumentKey
     revision: int
@@ -49,8 +49,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
-    """Tell whether a publish was accepted, and if not, by what it lost."""
+class PublishResult:
+    """Outcome of a publish; ``reason`` says why it was rejected."""
 
     record_id: str
     offset: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SkippedRecord:
-    """Tell operators which record was garbage."""
+    """Offset of an invalid record and why it was skipped."""
 
     offset: int
     reason: str
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class ControlFold:
-    """Hold the state that follows from the records applied so far."""
+    """Control state after the records applied so far."""
 
     next_offset: int = 0
     revision: int = -1
@@ -78,12 +78,14 @@
     skipped_count: int = 0
     documents_by_key: dict[DocumentKey, AcceptedDocument] = field(default_factory=dict)
     leases: LeaseTable = field(default_factory=LeaseTable)
-    judgements_by_id: OrderedDict[str, Judgement] = field(default_factory=OrderedDict)
-    skipped: deque[SkippedRecord] = field(default_factory=lambda: deque(maxlen=_SKIPPED_KEPT))
+    results_by_id: OrderedDict[str, PublishResult] = field(default_factory=OrderedDict)
+    skipped: deque[SkippedRecord] = field(
+        default_factory=lambda: deque(maxlen=_MAX_SKIPPED_RECORDS)
+    )
 
     @property
     def through(self) -> int:
-        """Return the offset of the last record applied, -1 for none."""
+        """Return the offset of the last applied record, -1 for none."""
         return self.next_offset - 1
 
     def contracts(self) -> list[Contract]:
@@ -98,11 +100,11 @@
             return None
         return document.content
 
-    def apply(self, offset: int, value: object) -> Judgement | None:
-        """Apply the record at an offset; return the judgement of a publish.
+    def apply(self, offset: int, value: object) -> PublishResult | None:
+        """Apply the record at an offset; return the outcome of a publish.
 
-        Records below ``next_offset`` were applied before and are ignored. After a record of a
-        newer format the fold stands still: what is in force stays so until an upgrade.
+        Records below ``next_offset`` were applied before and are ignored. After a record in a
+        newer format no record is applied: the accepted state stays in force until an upgrade.
         """
         if offset < self.next_offset or self.needs_upgrade is not None:
             return None
@@ -112,23 +114,23 @@
             self.needs_upgrade = f"offset {offset}: {error}"
             return None
         except UnreadableRecordError as error:
-            self._skip(offset, str(error))
+            self._record_skipped(offset, str(error))
             return None
         self.next_offset = offset + 1
         if isinstance(record, LeaseRecord):
             self.leases.apply(offset, record)
             return None
-        return self._judge(offset, record)
+        return self._apply_publish(offset, record)
 
     def load(self, checkpoint: Checkpoint) -> bool:
-        """Take a checkpoint's state if it is ahead of this one; never go back."""
+        """Replace the state with a checkpoint's if that is newer; return whether it was."""
         if checkpoint.through < self.next_offset:
             return False
         documents = {}
-        for kept in checkpoint.documents:
-            key = DocumentKey(DocumentKind(kept.kind), kept.name)
-            content = None if kept.body is None else parse_document(kept.body, str(key))
-            documents[key] = AcceptedDocument(key, kept.revision, kept.body, content)
+        for saved in checkpoint.documents:
+            key = DocumentKey(DocumentKind(saved.kind), saved.name)
+            content = None if saved.body is None else parse_document(saved.body, str(key))
+            documents[key] = AcceptedDocument(key, saved.revision, saved.body, content)
         self.documents_by_key = documents
         self.revision = max((document.revision for document in documents.values()), default=-1)
         self.leases.load(checkpoint.duties)
@@ -136,7 +138,7 @@
         return True
 
     def checkpoint(self) -> Checkpoint:
-        """Return a checkpoint of the present state."""
+        """Return a checkpoint of the current state."""
         documents = [
             CheckpointDocument(
                 kind=key.kind.value, name=key.name, revision=document.revision, body=document.body
@@ -151,40 +153,40 @@
             through=self.through,
             documents=documents,
             duties=duties,
-            digest=digest_of(documents, duties),
+            digest=checkpoint_digest(documents, duties),
         )
 
-    def _skip(self, offset: int, reason: str) -> None:
+    def _record_skipped(self, offset: int, reason: str) -> None:
         self.next_offset = offset + 1
         self.skipped_count += 1
         self.skipped.append(SkippedRecord(offset, reason))
 
-    def _judge(self, offset: int, record: Publish) -> Judgement:
-        earlier = self.judgements_by_id.get(record.id)
+    def _apply_publish(self, offset: int, record: PublishRecord) -> PublishResult:
+        earlier = self.results_by_id.get(record.id)
         if earlier is not None:
             return earlier
         keys = tuple(
             DocumentKey(DocumentKind(document.kind), document.name) for document in record.documents
         )
-        reason = self._refusal(keys, record)
-        judgement = Judgement(record.id, offset, not reason, record.operator, keys, reason)
-        if judgement.accepted:
+        reason = self._rejection_reason(keys, record)
+        result = PublishResult(record.id, offset, not reason, record.operator, keys, reason)
+        if result.accepted:
             self._accept(offset, record)
-        self.judgements_by_id[record.id] = judgement
-        if len(self.judgements_by_id) > _JUDGEMENTS_KEPT:
-            self.judgements_by_id.popitem(last=False)
-        return judgement
+        self.results_by_id[record.id] = result
+        if len(self.results_by_id) > _MAX_RESULTS:
+            self.results_by_id.popitem(last=False)
+        return result
 
-    def _refusal(self, keys: tuple[DocumentKey, ...], record: Publish) -> str:
+    def _rejection_reason(self, keys: tuple[DocumentKey, ...], record: PublishRecord) -> str:
         if len(set(keys)) != len(keys):
-            return "the publish names one document twice; publish each once"
+            return "the publish contains a document twice; include each document once"
         for key, published in zip(keys, record.documents, strict=True):
-            reason = self._conflict(key, published) or self._defect(key, published)
+            reason = self._conflict_reason(key, published) or self._invalid_reason(key, published)
             if reason:
                 return reason
         return ""
 
-    def _conflict(self, key: DocumentKey, published: PublishedDocument) -> str:
+    def _conflict_reason(self, key: DocumentKey, published: PublishedDocument) -> str:
         current = self.documents_by_key.get(key)
         revision = -1 if current is None else current.revision
         if published.base == revision:
@@ -194,7 +196,7 @@
             f"read it, merge, and publish with --base {revision}"
         )
 
-    def _defect(self, key: DocumentKey, published: PublishedDocument) -> str:
+    def _invalid_reason(self, key: DocumentKey, published: PublishedDocument) -> str:
         if published.body is None:
             return "" if key in self.documents_by_key else f"{key} does not exist"
         try:
@@ -203,10 +205,10 @@
             return error.message
         name = content.organisation if isinstance(content, Contract) else content.name
         if content.kind != key.kind.value or name != key.name:
-            return f"{key}: the document inside is {content.kind}/{name}"
+            return f"{key}: the body describes {content.kind}/{name}"
         return ""
 
-    def _accept(self, offset: int, record: Publish) -> None:
+    def _accept(self, offset: int, record: PublishRecord) -> None:
         for published in record.documents:
             key = DocumentKey(DocumentKind(published.kind), published.name)
             content = None if published.body is None else parse_document(published.body, str(key))
--- a/src/brassdrum/logservice/publish.py
+++ b/src/brassdrum/logservice/publish.py
@@ -9,8 +9,8 @@
 
 from brassdrum.clock import Clock, SystemClock
 from brassdrum.contracts.documents import Configuration, Contract, document_name
-from brassdrum.contracts.fold import ControlFold, DocumentKey, Judgement
-from brassdrum.contracts.records import CONTROL_STREAM, Publish, PublishedDocument
+from brassdrum.contracts.fold import ControlFold, DocumentKey, PublishResult
+from brassdrum.contracts.records import CONTROL_STREAM, PublishedDocument, PublishRecord
 from brassdrum.daemon.control import best_checkpoint
 from brassdrum.errors import PlatformUnavailableError
 from brassdrum.http_pool import ConnectFailedError, ExchangeFailedError, HttpPool
@@ -60,7 +60,7 @@
 
     def publish(
         self, documents: list[Contract | Configuration], base: int | None = None
-    ) -> Judgement:
+    ) -> PublishResult:
         """Publish documents together.
 
         Without ``base``, each document replaces its current revision. The record is appended again
@@ -84,7 +84,7 @@
 
     def _build_record(
         self, documents: list[Contract | Configuration], fold: ControlFold, base: int | None
-    ) -> Publish:
+    ) -> PublishRecord:
         published = []
         for document in documents:
             name = document_name(document)
@@ -96,7 +96,7 @@
                     body=document.model_dump(mode="json"),
                 )
             )
-        return Publish(
+        return PublishRecord(
             format=1,
             kind="publish",
             id=str(uuid.uuid4()),
@@ -104,7 +104,7 @@
             documents=published,
         )
 
-    def _append(self, record: Publish) -> None:
+    def _append(self, record: PublishRecord) -> None:
         try:
             self._log.append(CONTROL_STREAM, [record.model_dump(mode="json")])
         except PlatformUnavailableError as error:
@@ -112,12 +112,12 @@
                 "append of published documents not confirmed", extra={"reason": error.message}
             )
 
-    def _read_judgement(self, record_id: str, fold: ControlFold) -> Judgement | None:
+    def _read_judgement(self, record_id: str, fold: ControlFold) -> PublishResult | None:
         try:
             apply_new_records(self._log, fold, _LONG_POLL_SECONDS)
         except PlatformUnavailableError as error:
             _logger.warning("failed to read from the log service", extra={"reason": error.message})
-        return fold.judgements_by_id.get(record_id)
+        return fold.results_by_id.get(record_id)
 
 
 def _current_revision(fold: ControlFold, kind: str, name: str) -> int:
