--- a/src/brassdrum/gateway/following/follower.py
+++ b/src/brassdrum/gateway/following/follower.py
@@ -40,7 +40,7 @@
 _SECOND_READ_SHARE = 0.34
 _LAST_READ_SHARE = 0.45
 _RANK_SCALE = 6.0
-# Group members read only after all speakers are late, staggered up to this share.
+# Group members read only after all aggregators are late, staggered up to this share.
 _LAST_MEMBER_READ_SHARE = 0.65
 # Larger groups scale the retry delay, so that a group retries as often as this many daemons.
 _UNSCALED_GROUP_SIZE = 2.0
